--- a/builtin/model.c
+++ b/builtin/model.c
@@ -12,14 +12,16 @@
 	return clock() / (double)CLOCKS_PER_SEC;
 }
 
-static void add_tally(struct model_tally *to, const struct model_tally *from)
+static void add_tally(struct model_class_result *to,
+		      const struct model_class_result *from)
 {
 	to->asked += from->asked;
 	to->in_target += from->in_target;
 	to->late += from->late;
 	to->refused += from->refused;
 	to->failed += from->failed;
-	g_array_append_vals(to->ms, from->ms->data, from->ms->len);
+	g_array_append_vals(to->latencies_ms, from->latencies_ms->data,
+			    from->latencies_ms->len);
 }
 
 /* All seeds of one policy, added up. */
@@ -49,7 +51,7 @@
 }
 
 static void print_class(const char *policy, const char *name,
-			struct model_tally *t)
+			struct model_class_result *t)
 {
 	printf("%-16s %-20s %9" G_GUINT64_FORMAT
 	       "  %.3f  %.3f  %.3f  %.3f %8.1f %8.1f\n",
@@ -59,7 +61,7 @@
 	       model_quantile(t, 0.99));
 }
 
-static json_t *class_json(const char *name, struct model_tally *t)
+static json_t *class_json(const char *name, struct model_class_result *t)
 {
 	return json_pack("{s:s,s:I,s:I,s:I,s:I,s:I,s:f,s:f}", "class", name,
 			 "asked", (json_int_t)t->asked, "in_target",
--- a/model/experiment.c
+++ b/model/experiment.c
@@ -135,7 +135,7 @@
 	if (k == G_N_ELEMENTS(kinds))
 		json_check_fail(c, path, "kind must be slow, down or burst");
 	f->kind = k;
-	if (f->kind != MODEL_BURST)
+	if (f->kind != MODEL_FAULT_BURST)
 		f->service = read_service_name(c, o, path, e);
 	f->server = json_check_int(c, o, path, "server", 0, 0, 2000);
 	f->from_ms = json_check_number(c, o, path, "from_s", 0, 0, 1e6) * 1000;
--- a/model/model.h
+++ b/model/model.h
@@ -50,9 +50,9 @@
 };
 
 enum model_fault_kind {
-	MODEL_SLOW, /* work takes factor times as long */
-	MODEL_DOWN, /* the server refuses connections */
-	MODEL_BURST, /* callers of all classes send factor times as much */
+	MODEL_FAULT_SLOW, /* work takes factor times as long */
+	MODEL_FAULT_DOWN, /* the server refuses connections */
+	MODEL_FAULT_BURST, /* callers of all classes send factor times as much */
 };
 
 struct model_fault {
@@ -91,17 +91,18 @@
 };
 
 /* What became of the requests of a class. */
-struct model_tally {
+struct model_class_result {
 	uint64_t asked;
 	uint64_t in_target;
 	uint64_t late;
 	uint64_t refused; /* for good, not run */
 	uint64_t failed; /* no answer, or one that the work failed */
-	GArray *ms; /* double, of those answered, from the first sending */
+	GArray *latencies_ms; /* double, of those answered, from the first
+				 sending */
 };
 
 struct model_result {
-	struct model_tally classes[MODEL_MAX];
+	struct model_class_result classes[MODEL_MAX];
 	double work_ms; /* done at servers */
 	double wasted_ms; /* of that, for nobody */
 	uint64_t offers; /* sendings to gates */
@@ -126,6 +127,6 @@
 double model_served(const struct experiment *e, const struct model_result *r);
 
 /* The p-th share of a tally's times, 0 when there are none. */
-double model_quantile(struct model_tally *t, double p);
+double model_quantile(struct model_class_result *t, double p);
 
 #endif
--- a/model/run.c
+++ b/model/run.c
@@ -5,61 +5,63 @@
 
 /* Virtual time: the events of a run, and callers who send at random. */
 
-static bool before(const struct event *a, const struct event *b)
+static bool event_before(const struct event *a, const struct event *b)
 {
 	return a->at_us < b->at_us ||
-	       (a->at_us == b->at_us && a->number < b->number);
+	       (a->at_us == b->at_us && a->sequence < b->sequence);
 }
 
-static struct event *at(const struct model *m, uint32_t i)
+static struct event *event_at(const struct model *m, uint32_t i)
 {
-	return &g_array_index(m->heap, struct event, i);
+	return &g_array_index(m->events, struct event, i);
 }
 
-static void swap(struct model *m, uint32_t i, uint32_t j)
+static void swap_events(struct model *m, uint32_t i, uint32_t j)
 {
-	struct event t = *at(m, i);
+	struct event t = *event_at(m, i);
 
-	*at(m, i) = *at(m, j);
-	*at(m, j) = t;
+	*event_at(m, i) = *event_at(m, j);
+	*event_at(m, j) = t;
 }
 
-void model_at(struct model *m, int64_t at_us, event_fn fn, void *subject)
+void model_schedule(struct model *m, int64_t at_us, event_fn fn, void *subject)
 {
 	struct event ev = { MAX(at_us, m->now_us), m->n_events++, fn, subject };
-	uint32_t i = m->heap->len;
+	uint32_t i = m->events->len;
 
-	g_array_append_val(m->heap, ev);
-	while (i && before(at(m, i), at(m, (i - 1) / 2))) {
-		swap(m, i, (i - 1) / 2);
+	g_array_append_val(m->events, ev);
+	while (i && event_before(event_at(m, i), event_at(m, (i - 1) / 2))) {
+		swap_events(m, i, (i - 1) / 2);
 		i = (i - 1) / 2;
 	}
 }
 
-static struct event next(struct model *m)
+static struct event next_event(struct model *m)
 {
-	struct event first = *at(m, 0);
+	struct event first = *event_at(m, 0);
 	uint32_t i = 0;
 
-	swap(m, 0, m->heap->len - 1);
-	g_array_set_size(m->heap, m->heap->len - 1);
+	swap_events(m, 0, m->events->len - 1);
+	g_array_set_size(m->events, m->events->len - 1);
 	for (;;) {
 		uint32_t l = 2 * i + 1;
 		uint32_t best = i;
 
-		if (l < m->heap->len && before(at(m, l), at(m, best)))
+		if (l < m->events->len &&
+		    event_before(event_at(m, l), event_at(m, best)))
 			best = l;
-		if (l + 1 < m->heap->len && before(at(m, l + 1), at(m, best)))
+		if (l + 1 < m->events->len &&
+		    event_before(event_at(m, l + 1), event_at(m, best)))
 			best = l + 1;
 		if (best == i)
 			return first;
-		swap(m, i, best);
+		swap_events(m, i, best);
 		i = best;
 	}
 }
 
 /* Normally distributed, by Box and Muller. */
-double model_normal(struct model *m)
+double model_random_normal(struct model *m)
 {
 	double u = 1 - g_rand_double(m->rand);
 
@@ -86,22 +88,24 @@
 	return factor;
 }
 
-static double rate_now(const struct model *m, const struct model_class *k)
+static double current_rate(const struct model *m, const struct model_class *k)
 {
 	double wave = 1 + m->e->swing * sin(2 * G_PI * m->now_us /
 					    (m->e->period_s * 1e6));
 
-	return k->per_s * wave * model_fault_factor(m, MODEL_BURST, NULL);
+	return k->per_s * wave * model_fault_factor(m, MODEL_FAULT_BURST, NULL);
 }
 
-static void arrive(struct model *m, void *subject)
+static void caller_request_arrived(struct model *m, void *subject)
 {
 	const struct model_class *k = subject;
 	uint32_t i = g_rand_int_range(m->rand, 0, m->n_hosts);
-	double gap_s = -log(1 - g_rand_double(m->rand)) / rate_now(m, k);
+	double gap_s = -log(1 - g_rand_double(m->rand)) / current_rate(m, k);
 
-	model_at(m, m->now_us + (int64_t)(gap_s * 1e6), arrive, subject);
-	entry_begin(m, entry_request_new(m, k - m->e->classes, &m->hosts[i]));
+	model_schedule(m, m->now_us + (int64_t)(gap_s * 1e6),
+		       caller_request_arrived, subject);
+	entry_start_request(m, entry_request_new(m, k - m->e->classes,
+						 &m->hosts[i]));
 }
 
 static void add_hosts(struct model *m, uint32_t service)
@@ -115,16 +119,18 @@
 
 		h->index = m->n_hosts++;
 		h->service = service;
-		h->speed = 1 + s->spread * i / MAX(s->servers - 1, 1);
-		admission_init(&h->gate, m->policy->limit, s->link_mbps, 0);
-		cold_set_rate(&h->gate.cold, COLD_ANY);
-		queue_set_classes(&h->gate.queue, m->e->n_classes);
-		admission_announce(&h->gate, m->policy->limit, s->slots, 0);
+		h->work_factor = 1 + s->spread * i / MAX(s->servers - 1, 1);
+		admission_init(&h->admission, m->policy->limit, s->link_mbps,
+			       0);
+		cold_set_rate(&h->admission.cold, COLD_ANY);
+		queue_set_classes(&h->admission.queue, m->e->n_classes);
+		admission_announce(&h->admission, m->policy->limit, s->slots,
+				   0);
 		chooser_init(&h->chooser, m->policy->choice,
 			     g_rand_int(m->rand));
 		for (j = 0; j < m->e->n_services; j++)
-			budget_init(&h->budgets[j], m->e->retry_share,
-				    MAX(m->e->retry_reserve / 16, 1));
+			retry_budget_init(&h->budgets[j], m->e->retry_share,
+					  MAX(m->e->retry_reserve / 16, 1));
 	}
 }
 
@@ -141,8 +147,8 @@
 		add_hosts(m, i);
 	for (i = 0; i < m->e->n_classes; i++)
 		if (m->e->classes[i].per_s > 0)
-			model_at(m, 0, arrive,
-				 (void *)(uintptr_t)&m->e->classes[i]);
+			model_schedule(m, 0, caller_request_arrived,
+				       (void *)(uintptr_t)&m->e->classes[i]);
 }
 
 static void tear_down(struct model *m)
@@ -150,13 +156,13 @@
 	uint32_t i;
 
 	for (i = 0; i < m->n_hosts; i++) {
-		admission_finish(&m->hosts[i].gate);
+		admission_finish(&m->hosts[i].admission);
 		chooser_finish(&m->hosts[i].chooser);
 	}
 	g_free(m->hosts);
 	g_free(m->options);
-	g_array_unref(m->heap);
-	g_ptr_array_unref(m->memory);
+	g_array_unref(m->events);
+	g_ptr_array_unref(m->allocations);
 	g_rand_free(m->rand);
 }
 
@@ -169,13 +175,14 @@
 
 	memset(r, 0, sizeof(*r));
 	for (i = 0; i < e->n_classes; i++)
-		r->classes[i].ms = g_array_new(FALSE, FALSE, sizeof(double));
+		r->classes[i].latencies_ms =
+			g_array_new(FALSE, FALSE, sizeof(double));
 	m.rand = g_rand_new_with_seed(seed);
-	m.heap = g_array_new(FALSE, FALSE, sizeof(struct event));
-	m.memory = g_ptr_array_new_with_free_func(g_free);
+	m.events = g_array_new(FALSE, FALSE, sizeof(struct event));
+	m.allocations = g_ptr_array_new_with_free_func(g_free);
 	set_up(&m);
-	while (m.heap->len && at(&m, 0)->at_us < end_us) {
-		struct event ev = next(&m);
+	while (m.events->len && event_at(&m, 0)->at_us < end_us) {
+		struct event ev = next_event(&m);
 
 		m.now_us = ev.at_us;
 		ev.fn(&m, ev.subject);
@@ -189,12 +196,12 @@
 	uint32_t i;
 
 	for (i = 0; i < MODEL_MAX; i++)
-		if (r->classes[i].ms)
-			g_array_unref(r->classes[i].ms);
+		if (r->classes[i].latencies_ms)
+			g_array_unref(r->classes[i].latencies_ms);
 	memset(r, 0, sizeof(*r));
 }
 
-static gint by_value(gconstpointer a, gconstpointer b)
+static gint compare_doubles(gconstpointer a, gconstpointer b)
 {
 	double x = *(const double *)a;
 	double y = *(const double *)b;
@@ -202,12 +209,13 @@
 	return (x > y) - (x < y);
 }
 
-double model_quantile(struct model_tally *t, double p)
+double model_quantile(struct model_class_result *t, double p)
 {
-	if (!t->ms->len)
+	if (!t->latencies_ms->len)
 		return 0;
-	g_array_sort(t->ms, by_value);
-	return g_array_index(t->ms, double, (guint)(p * (t->ms->len - 1)));
+	g_array_sort(t->latencies_ms, compare_doubles);
+	return g_array_index(t->latencies_ms, double,
+			     (guint)(p * (t->latencies_ms->len - 1)));
 }
 
 double model_earned(const struct experiment *e, const struct model_result *r)
@@ -218,7 +226,7 @@
 
 	for (i = 0; i < e->n_classes; i++) {
 		const struct model_class *k = &e->classes[i];
-		const struct model_tally *t = &r->classes[i];
+		const struct model_class_result *t = &r->classes[i];
 
 		earned += t->in_target * k->worth + t->late * k->late_worth;
 		owed += t->asked * k->worth;
--- a/model/server.c
+++ b/model/server.c
@@ -5,11 +5,11 @@
 
 /* Gates, by gate/admission.h, and the backend servers beside them. */
 
-#define WORD_MARGIN_MS 40
+#define REFUSAL_MARGIN_MS 40
 /* Fuller than this a server takes longer for each request. */
-#define CROWDED_FROM 0.9
+#define CROWDING_THRESHOLD 0.9
 
-static int64_t link_us(const struct job *j)
+static int64_t link_delay_us(const struct job *j)
 {
 	return j->gate == j->request->entry
 		       ? 0
@@ -26,85 +26,88 @@
 
 	if (h == j->request->entry)
 		return j->model->now_us;
-	h->link_free_us = MAX(h->link_free_us, j->model->now_us) + (int64_t)us;
-	return h->link_free_us + link_us(j);
+	h->link_free_at_us =
+		MAX(h->link_free_at_us, j->model->now_us) + (int64_t)us;
+	return h->link_free_at_us + link_delay_us(j);
 }
 
-static void give_back_link(struct job *j)
+static void unreserve_link(struct job *j)
 {
-	link_withdraw(&j->gate->gate.link, j->promised_bytes);
-	j->promised_bytes = 0;
+	link_withdraw(&j->gate->admission.link, j->reserved_bytes);
+	j->reserved_bytes = 0;
 }
 
 /* A refusal on its way back to the entry. */
-struct word {
+struct refusal {
 	struct job *job;
 	int64_t wait_ms;
 	bool not_owner;
 };
 
-static void word_arrives(struct model *m, void *subject)
+static void refusal_arrived(struct model *m, void *subject)
 {
-	struct word *w = subject;
+	struct refusal *refusal = subject;
 
-	entry_refused(m, w->job, w->wait_ms, w->not_owner);
+	entry_refused(m, refusal->job, refusal->wait_ms, refusal->not_owner);
 }
 
-static void refuse(struct model *m, struct job *j, bool not_owner)
+static void refuse_job(struct model *m, struct job *j, bool not_owner)
 {
-	struct word *w = g_new0(struct word, 1);
+	struct refusal *refusal = g_new0(struct refusal, 1);
 
-	g_ptr_array_add(m->memory, w);
-	give_back_link(j);
+	g_ptr_array_add(m->allocations, refusal);
+	unreserve_link(j);
 	j->state = JOB_ENDED;
-	w->job = j;
-	w->not_owner = not_owner;
-	w->wait_ms = admission_wait_ms(&j->gate->gate, g_rand_double(m->rand),
-				       now_ms(m));
-	queue_count(&j->gate->gate.queue, j->request->class_index, true);
-	model_at(m, m->now_us + link_us(j), word_arrives, w);
+	refusal->job = j;
+	refusal->not_owner = not_owner;
+	refusal->wait_ms = admission_wait_ms(&j->gate->admission,
+					     g_rand_double(m->rand), now_ms(m));
+	queue_count(&j->gate->admission.queue, j->request->class_index, true);
+	model_schedule(m, m->now_us + link_delay_us(j), refusal_arrived,
+		       refusal);
 }
 
-static double work_ms(struct model *m, const struct job *j)
+static double draw_work_ms(struct model *m, const struct job *j)
 {
 	const struct host *h = j->gate;
 	const struct model_service *s = &m->e->services[h->service];
 	const struct model_class *k = class_of(j->request);
-	double ms = k->work_ms * h->speed;
+	double ms = k->work_ms * h->work_factor;
 
-	ms *= exp(k->noise * model_normal(m));
-	if (h->gate.n_running > s->slots * CROWDED_FROM)
+	ms *= exp(k->noise * model_random_normal(m));
+	if (h->admission.n_running > s->slots * CROWDING_THRESHOLD)
 		ms *= 1 + s->crowding;
-	return ms * model_fault_factor(m, MODEL_SLOW, h);
+	return ms * model_fault_factor(m, MODEL_FAULT_SLOW, h);
 }
 
-static void pump(struct model *m, struct host *h);
+static void start_queued(struct model *m, struct host *h);
 
-static void end(struct model *m, void *subject)
+static void end_job(struct model *m, void *subject)
 {
 	struct job *j = subject;
-	double ms = (m->now_us - j->started_us) / (double)US_PER_MS;
+	double ms = (m->now_us - j->started_at_us) / (double)US_PER_MS;
 
 	if (j->state != JOB_RUNNING)
 		return;
 	j->state = JOB_ENDED;
 	m->result->work_ms += ms;
-	if (!j->wanted || !j->good)
+	if (!j->answer_expected || !j->succeeded)
 		m->result->wasted_ms += ms;
-	admission_done(&j->gate->gate, j->request->class_index, LIMIT_ANSWERED,
-		       ms, j->started_us / US_PER_MS, now_ms(m));
-	give_back_link(j);
-	queue_learn_bytes(&j->gate->gate.queue, j->request->class_index,
+	admission_done(&j->gate->admission, j->request->class_index,
+		       LIMIT_ANSWERED, ms, j->started_at_us / US_PER_MS,
+		       now_ms(m));
+	unreserve_link(j);
+	queue_learn_bytes(&j->gate->admission.queue, j->request->class_index,
 			  class_of(j->request)->answer_bytes);
 	if (j->gate != j->request->entry)
-		link_sent(&j->gate->gate.link,
+		link_sent(&j->gate->admission.link,
 			  class_of(j->request)->answer_bytes, now_ms(m));
-	model_at(m, answer_at_us(j), entry_answered, j);
-	pump(m, j->gate);
+	model_schedule(m, answer_at_us(j), entry_answered, j);
+	start_queued(m, j->gate);
 }
 
 /* Halfway through its work a job asks for what it needs. */
-static void call(struct model *m, void *subject)
+static void send_call(struct model *m, void *subject)
 {
 	struct job *j = subject;
 	struct request *c;
@@ -115,60 +118,65 @@
 	c->parent = j;
 	c->plan.deadline_ms =
 		MIN(c->plan.deadline_ms, j->request->plan.deadline_ms);
-	c->half_ms = (m->now_us - j->started_us) / (double)US_PER_MS;
-	entry_begin(m, c);
+	c->parent_remaining_ms =
+		(m->now_us - j->started_at_us) / (double)US_PER_MS;
+	entry_start_request(m, c);
 }
 
-void server_call_ended(struct model *m, struct request *c, bool good)
+void server_call_ended(struct model *m, struct request *c, bool succeeded)
 {
 	struct job *j = c->parent;
 
-	j->good = good;
-	model_at(m, m->now_us + (good ? (int64_t)(c->half_ms * US_PER_MS) : 0),
-		 end, j);
+	j->succeeded = succeeded;
+	model_schedule(m,
+		       m->now_us + (succeeded
+					    ? (int64_t)(c->parent_remaining_ms *
+							US_PER_MS)
+					    : 0),
+		       end_job, j);
 }
 
-static void start(struct model *m, struct job *j)
+static void start_job(struct model *m, struct job *j)
 {
 	const struct model_class *k = class_of(j->request);
 	int64_t work_us;
 
-	if (now_ms(m) >= j->request->plan.deadline_ms - WORD_MARGIN_MS) {
-		refuse(m, j, false);
+	if (now_ms(m) >= j->request->plan.deadline_ms - REFUSAL_MARGIN_MS) {
+		refuse_job(m, j, false);
 		return;
 	}
 	j->state = JOB_RUNNING;
-	j->started_us = m->now_us;
-	j->good = true;
-	admission_started(&j->gate->gate, now_ms(m));
-	work_us = (int64_t)(work_ms(m, j) * US_PER_MS);
+	j->started_at_us = m->now_us;
+	j->succeeded = true;
+	admission_started(&j->gate->admission, now_ms(m));
+	work_us = (int64_t)(draw_work_ms(m, j) * US_PER_MS);
 	if (k->calls != MODEL_NONE && g_rand_double(m->rand) < k->call_share)
-		model_at(m, m->now_us + work_us / 2, call, j);
+		model_schedule(m, m->now_us + work_us / 2, send_call, j);
 	else
-		model_at(m, m->now_us + work_us, end, j);
+		model_schedule(m, m->now_us + work_us, end_job, j);
 }
 
-static void pump(struct model *m, struct host *h)
+static void start_queued(struct model *m, struct host *h)
 {
 	struct queued q;
 
-	while (admission_overtaken(&h->gate, now_ms(m), &q))
-		refuse(m, q.request, false);
-	while (admission_next(&h->gate, now_ms(m), &q))
-		start(m, q.request);
+	while (admission_overtaken(&h->admission, now_ms(m), &q))
+		refuse_job(m, q.request, false);
+	while (admission_next(&h->admission, now_ms(m), &q))
+		start_job(m, q.request);
 }
 
-static void expire(struct model *m, void *subject)
+static void expire_job(struct model *m, void *subject)
 {
 	struct job *j = subject;
 
-	if (j->state != JOB_WAITING)
+	if (j->state != JOB_QUEUED)
 		return;
-	queue_remove(&j->gate->gate.queue, j);
-	refuse(m, j, false);
+	queue_remove(&j->gate->admission.queue, j);
+	refuse_job(m, j, false);
 }
 
-void gate_arrive(struct model *m, void *subject)
+void gate_request_arrived(struct model *m, void *subject)
 {
 	struct job *j = subject;
 	struct host *h = j->gate;
@@ -179,40 +187,40 @@
 			     .request = j };
 	struct queued *victim;
 
-	if (j->state != JOB_ON_WAY || !j->wanted)
+	if (j->state != JOB_IN_FLIGHT || !j->answer_expected)
 		return;
-	if (model_fault_factor(m, MODEL_DOWN, h) > 1) {
-		refuse(m, j, true);
+	if (model_fault_factor(m, MODEL_FAULT_DOWN, h) > 1) {
+		refuse_job(m, j, true);
 		return;
 	}
-	in.due_ms = r->plan.received_ms + k->target_ms;
-	in.deadline_ms = r->plan.deadline_ms - WORD_MARGIN_MS;
-	if (admission_offer(&h->gate, &in, r->owner == MODEL_NONE, now_ms(m),
-			    &victim)) {
-		refuse(m, j, false);
+	in.due_ms = r->plan.received_at_ms + k->target_ms;
+	in.deadline_ms = r->plan.deadline_ms - REFUSAL_MARGIN_MS;
+	if (admission_offer(&h->admission, &in, r->owner == MODEL_NONE,
+			    now_ms(m), &victim)) {
+		refuse_job(m, j, false);
 		return;
 	}
-	j->state = JOB_WAITING;
-	j->promised_bytes = admission_promise(&h->gate, &in);
+	j->state = JOB_QUEUED;
+	j->reserved_bytes = admission_promise(&h->admission, &in);
 	if (victim) {
-		refuse(m, victim->request, false);
+		refuse_job(m, victim->request, false);
 		g_free(victim);
 	}
-	model_at(m, in.deadline_ms * US_PER_MS, expire, j);
-	pump(m, h);
+	model_schedule(m, in.deadline_ms * US_PER_MS, expire_job, j);
+	start_queued(m, h);
 }
 
 void gate_cancel(struct model *m, struct job *j)
 {
-	give_back_link(j);
-	if (j->state == JOB_WAITING)
-		queue_remove(&j->gate->gate.queue, j);
+	unreserve_link(j);
+	if (j->state == JOB_QUEUED)
+		queue_remove(&j->gate->admission.queue, j);
 	if (j->state == JOB_RUNNING) {
 		m->result->wasted_ms +=
-			(m->now_us - j->started_us) / (double)US_PER_MS;
-		admission_cancelled(&j->gate->gate);
+			(m->now_us - j->started_at_us) / (double)US_PER_MS;
+		admission_cancelled(&j->gate->admission);
 		j->state = JOB_ENDED;
-		pump(m, j->gate);
+		start_queued(m, j->gate);
 	}
 	j->state = JOB_ENDED;
 }
--- a/node/entry-answer.c
+++ b/node/entry-answer.c
@@ -58,13 +58,14 @@
 		    ",\"tries\":%u,\"reached\":%u,\"attempts\":[%s]",
 		    event_text(r->class_name), event_text(r->service),
 		    r->version, p->keyed ? (int64_t)r->shard : -1,
-		    event_text(why), now - p->received_ms, p->deadline_ms - now,
-		    wait_ms, p->tries, plan_n_reached(p), past_text(r));
+		    event_text(why), now - p->received_at_ms,
+		    p->deadline_ms - now, wait_ms, p->tries,
+		    plan_n_servers_reached(p), past_text(r));
 }
 
 static double age_ms(const struct entry_request *r)
 {
-	return clock_now_ms() - r->plan.received_ms;
+	return clock_now_ms() - r->plan.received_at_ms;
 }
 
 static void add_retry_after(struct entry_request *r, GPtrArray *headers,
@@ -198,7 +199,7 @@
 
 static void learn_size(struct entry_request *r)
 {
-	cost_learn_bytes(entry_cost(r), r->received_bytes);
+	cost_update_bytes(entry_cost(r), r->received_bytes);
 }
 
 /* The answer of an attempt is at its end; one not whole cuts the caller off. */
@@ -232,7 +233,7 @@
 		entry_end_attempt(r, a, ATTEMPT_EVENT_MIXED, RESULT_MIXED);
 		return;
 	}
-	plan_event(&r->plan, a->number, ATTEMPT_EVENT_ANSWERED);
+	plan_attempt_event(&r->plan, a->number, ATTEMPT_EVENT_ANSWERED);
 	entry_cancel_others(r, a);
 	note_answered(r, a, m->status);
 	if (a->hedge)
--- a/node/entry-attempt.c
+++ b/node/entry-attempt.c
@@ -88,7 +88,7 @@
 
 	if (r->plan.attempts[a->number].state == ATTEMPT_NOT_SENT &&
 	    !peers_is_waiting(&r->entry->node->peers, a->address, a->id))
-		plan_event(&r->plan, a->number, ATTEMPT_EVENT_LEFT);
+		plan_attempt_event(&r->plan, a->number, ATTEMPT_EVENT_SENT);
 }
 
 bool entry_withdraw_attempt(struct entry *e, struct attempt *a)
@@ -96,7 +96,7 @@
 	entry_note_left(a);
 	if (!peers_take_back(&e->node->peers, a->address, a->id))
 		return false;
-	chooser_dropped(&e->chooser, a->member, true, clock_now_ms());
+	chooser_unanswered(&e->chooser, a->member, true, clock_now_ms());
 	chooser_not_serving(&e->chooser, a->member, clock_now_ms());
 	entry_note_attempt(a->request, a, RESULT_UNREACHABLE);
 	entry_forget_attempt(e, a);
@@ -107,7 +107,7 @@
 {
 	if (entry_withdraw_attempt(e, a))
 		return;
-	chooser_dropped(&e->chooser, a->member, silent, clock_now_ms());
+	chooser_unanswered(&e->chooser, a->member, silent, clock_now_ms());
 	send_small(e, a, REQ_CANCEL, 0);
 	entry_forget_attempt(e, a);
 }
@@ -133,7 +133,7 @@
 	m->to = member;
 	m->shard = r->shard;
 	m->class_name = r->class_name;
-	m->target_ms = r->target_ms - (now - r->plan.received_ms);
+	m->target_ms = r->target_ms - (now - r->plan.received_at_ms);
 	m->priority = r->priority;
 	m->resend_window_ms = r->resend_window_ms;
 	m->sent_ms = now;
@@ -163,7 +163,8 @@
 static void note_sent(struct entry_request *r, const struct attempt *a,
 		      int64_t now)
 {
-	const struct gate_view *v = chooser_view(&r->entry->chooser, a->member);
+	const struct gate_view *v =
+		chooser_gate_view(&r->entry->chooser, a->member);
 
 	measure_waiting(r, a);
 	if (!r->traced)
@@ -176,7 +177,8 @@
 	      ",\"left_ms\":%" PRId64 ",\"hedge\":%s",
 	      event_text(r->class_name), event_text(r->service), r->version,
 	      a->member, r->plan.keyed ? (int64_t)r->shard : -1, v->load,
-	      v->limit, v->latency_ms, v->heard_ms ? now - v->heard_ms : -1,
+	      v->limit, v->latency_ms,
+	      v->last_answer_at_ms ? now - v->last_answer_at_ms : -1,
 	      (a->sent_us - r->http->read_us) / 1000, r->plan.deadline_ms - now,
 	      a->hedge ? "true" : "false");
 }
@@ -194,7 +196,7 @@
 
 	if (!to || (r->attempts[0] && r->attempts[1]))
 		return RESULT_OVERLOAD;
-	number = plan_begin(&r->plan);
+	number = plan_add_attempt(&r->plan);
 	if (number < 0)
 		return RESULT_OVERLOAD;
 	a = g_new0(struct attempt, 1);
@@ -214,14 +216,15 @@
 	id = a->id;
 	note_sent(r, a, now);
 	/* Our own gate may answer, and end the request, before this returns. */
-	err = chooser_view(&e->chooser, member)->ended ? RESULT_UNREACHABLE
-						       : deliver(e, a, &m);
+	err = chooser_gate_view(&e->chooser, member)->stop_announced
+		      ? RESULT_UNREACHABLE
+		      : deliver(e, a, &m);
 	if (!err)
 		return RESULT_OK;
 	a = g_hash_table_lookup(e->attempts, &id);
-	chooser_dropped(&e->chooser, member, true, now);
+	chooser_unanswered(&e->chooser, member, true, now);
 	chooser_not_serving(&e->chooser, member, now);
-	plan_event(&r->plan, a->number, ATTEMPT_EVENT_WITHDRAWN);
+	plan_attempt_event(&r->plan, a->number, ATTEMPT_EVENT_UNSENT);
 	entry_note_attempt(r, a, err);
 	entry_forget_attempt(e, a);
 	return RESULT_UNREACHABLE;
--- a/node/entry-classify.c
+++ b/node/entry-classify.c
@@ -87,13 +87,13 @@
 	r->priority = k->priority;
 	r->resend_window_ms = k->resend_window_ms;
 	p->repeatable = k->repeatable;
-	p->max_reached = k->attempts;
-	p->deadline_ms = p->received_ms + wait_ms(r, k);
+	p->max_servers = k->attempts;
+	p->deadline_ms = p->received_at_ms + wait_ms(r, k);
 	p->hold_until_ms = p->deadline_ms;
 	if (s->hold_share > 0)
 		p->hold_until_ms =
 			MIN(p->deadline_ms,
-			    p->received_ms +
+			    p->received_at_ms +
 				    (int64_t)(s->hold_share * k->target_ms));
 }
 
--- a/node/entry-pick.c
+++ b/node/entry-pick.c
@@ -55,8 +55,8 @@
 	for (i = 0; i < count && !r->plan.refusals; i++) {
 		int64_t id = members[(r->plan.refusals + i) % count];
 
-		if (chooser_view(&r->entry->chooser, id)->silent_until_ms <=
-		    now)
+		if (chooser_gate_view(&r->entry->chooser, id)
+			    ->suspect_until_ms <= now)
 			return id;
 	}
 	return count ? members[r->plan.refusals % count] : 0;
--- a/node/entry-request.h
+++ b/node/entry-request.h
@@ -119,7 +119,7 @@
 
 /* node/entry.c */
 struct class_cost *entry_cost(struct entry_request *r);
-struct budget *entry_budget(struct entry *e, const char *service);
+struct retry_budget *entry_budget(struct entry *e, const char *service);
 void entry_step(struct entry_request *r, enum plan_step step);
 /* An attempt ended without an answer or a refusal; go on from there. */
 void entry_end_attempt(struct entry_request *r, struct attempt *a,
--- a/node/entry.c
+++ b/node/entry.c
@@ -22,21 +22,22 @@
 
 static double usual_ms(struct entry_request *r, const struct gate_view *v)
 {
-	return cost_usual_ms(entry_cost(r), v->latency_ms);
+	return cost_from_nominal_ms(entry_cost(r), v->latency_ms);
 }
 
 /* What repeats and hedges of requests to a service may add to its load. */
-struct budget *entry_budget(struct entry *e, const char *service)
+struct retry_budget *entry_budget(struct entry *e, const char *service)
 {
 	const struct settings *s = &e->node->settings;
-	struct budget *b = g_hash_table_lookup(e->budgets, service);
+	struct retry_budget *b = g_hash_table_lookup(e->budgets, service);
 	uint32_t n = fleet_n_members(&e->node->member.fleet);
 
 	if (b)
 		return b;
 	/* The reserve is the fleet's: a share of it is ours. */
-	b = g_new0(struct budget, 1);
-	budget_init(b, s->retry_share, MAX(s->retry_reserve / MAX(n, 1), 1));
+	b = g_new0(struct retry_budget, 1);
+	retry_budget_init(b, s->retry_share,
+			  MAX(s->retry_reserve / MAX(n, 1), 1));
 	g_hash_table_insert(e->budgets, g_strdup(service), b);
 	return b;
 }
@@ -56,10 +57,9 @@
 static void plan_step_ended(struct entry_request *r, uint32_t number,
 			    enum attempt_event why)
 {
-	enum plan_step step = plan_ended(&r->plan, number, why,
-					 entry_budget(r->entry, r->service),
-					 g_rand_double(r->entry->rand),
-					 clock_now_ms());
+	enum plan_step step = plan_attempt_ended(
+		&r->plan, number, why, entry_budget(r->entry, r->service),
+		g_rand_double(r->entry->rand), clock_now_ms());
 
 	if (step == PLAN_SEND && plan_in_doubt(&r->plan))
 		COUNT(requests_retried);
@@ -74,9 +74,10 @@
 			 : RESULT_OVERLOAD;
 
 	if (err == RESULT_UNREACHABLE)
-		plan_step_ended(r, r->plan.tries - 1, ATTEMPT_EVENT_WITHDRAWN);
+		plan_step_ended(r, r->plan.tries - 1, ATTEMPT_EVENT_UNSENT);
 	else if (err)
-		entry_step(r, plan_nobody(&r->plan, jitter, clock_now_ms()));
+		entry_step(r,
+			   plan_no_candidate(&r->plan, jitter, clock_now_ms()));
 }
 
 /* Do what the plan says. */
@@ -142,10 +143,10 @@
 	if (m->type != REQ_HEAD)
 		ms = 0;
 	else
-		cost_learn_ms(c, ms);
+		cost_update_latency(c, ms);
 	chooser_answered(&e->chooser, a->member,
-			 ms > 0 ? cost_nominal_ms(c, ms) : 0, m->load, m->limit,
-			 clock_now_ms());
+			 ms > 0 ? cost_to_nominal_ms(c, ms) : 0, m->load,
+			 m->limit, clock_now_ms());
 }
 
 /* What a gate says of a request that it does not answer and that may have run. */
@@ -154,7 +155,7 @@
 	if (!(m->flags & REQ_FLAG_BEGUN))
 		return ATTEMPT_EVENT_IN_DOUBT;
 	if (m->number == RESULT_TIMEOUT)
-		return ATTEMPT_EVENT_LATE;
+		return ATTEMPT_EVENT_SERVER_LATE;
 	return m->number == RESULT_MIXED ? ATTEMPT_EVENT_MIXED
 					 : ATTEMPT_EVENT_CUT;
 }
@@ -164,7 +165,7 @@
 {
 	/* One that has left by the log already is no member any more. */
 	if (m->to)
-		chooser_view(&e->chooser, m->to)->ended = true;
+		chooser_gate_view(&e->chooser, m->to)->stop_announced = true;
 	entry_send_heard(e, m->key);
 }
 
@@ -226,17 +227,17 @@
 static void hedge(struct entry_request *r, struct attempt *a, double age_ms)
 {
 	struct entry *e = r->entry;
-	struct gate_view *v = chooser_view(&e->chooser, a->member);
+	struct gate_view *v = chooser_gate_view(&e->chooser, a->member);
 	int64_t member;
 
 	if (!r->plan.repeatable || r->plan.keyed || r->hedged ||
-	    !e->node->settings.hedge || !plan_may_reach(&r->plan))
+	    !e->node->settings.hedge || !plan_may_reach_server(&r->plan))
 		return;
 	if (!cost_hedge_due(age_ms, usual_ms(r, v), r->target_ms))
 		return;
 	member = entry_pick_gate(r, a->member);
 	if (!member || member == a->member ||
-	    !budget_spend(entry_budget(e, r->service)))
+	    !retry_budget_withdraw(entry_budget(e, r->service)))
 		return;
 	r->hedged = true;
 	COUNT(requests_hedged);
@@ -246,10 +247,10 @@
 /* How long to wait for one gate before another is worth asking. */
 static double try_ms(struct entry_request *r, const struct attempt *a)
 {
-	struct gate_view *v = chooser_view(&r->entry->chooser, a->member);
-	double left = r->plan.deadline_ms - r->plan.received_ms;
+	struct gate_view *v = chooser_gate_view(&r->entry->chooser, a->member);
+	double left = r->plan.deadline_ms - r->plan.received_at_ms;
 
-	return cost_owner_patience_ms(usual_ms(r, v), r->target_ms, left);
+	return cost_owner_hedge_delay_ms(usual_ms(r, v), r->target_ms, left);
 }
 
 /*
@@ -260,17 +261,18 @@
 static void ask_heir(struct entry_request *r, const struct attempt *a,
 		     double age_ms, int64_t now)
 {
-	struct gate_view *v = chooser_view(&r->entry->chooser, a->member);
+	struct gate_view *v = chooser_gate_view(&r->entry->chooser, a->member);
 	int64_t member;
 
 	if (!r->plan.repeatable || age_ms < try_ms(r, a) ||
-	    now < r->plan.resume_ms || now - v->heard_ms < SILENT_GATE_MS ||
+	    now < r->plan.resume_at_ms ||
+	    now - v->last_answer_at_ms < SILENT_GATE_MS ||
 	    plan_n_open(&r->plan) > 1 || r->plan.tries >= PLAN_MAX_TRIES ||
-	    !plan_may_reach(&r->plan))
+	    !plan_may_reach_server(&r->plan))
 		return;
-	v->silent_until_ms = now + SILENT_GATE_MS;
+	v->suspect_until_ms = now + SILENT_GATE_MS;
 	member = entry_pick_gate(r, a->member);
-	r->plan.resume_ms = now + ROUND_MS;
+	r->plan.resume_at_ms = now + ROUND_MS;
 	if (member && member != a->member)
 		entry_send_attempt(r, member, false);
 }
@@ -282,7 +284,7 @@
 
 	if (!entry_withdraw_attempt(r->entry, a))
 		return false;
-	plan_step_ended(r, number, ATTEMPT_EVENT_WITHDRAWN);
+	plan_step_ended(r, number, ATTEMPT_EVENT_UNSENT);
 	return true;
 }
 
@@ -304,7 +306,7 @@
 	struct entry *e = r->entry;
 	double age_ms = (clock_now_us() - a->sent_us) / 1000.0;
 	int64_t heard = peers_heard_ms(&e->node->peers, a->address);
-	const struct gate_view *v = chooser_view(&e->chooser, a->member);
+	const struct gate_view *v = chooser_gate_view(&e->chooser, a->member);
 
 	if (r->winner == a)
 		return;
@@ -320,7 +322,7 @@
 			peers_replace(&e->node->peers, a->address);
 		/* A gate that answers others is slow, not silent. */
 		give_up_attempt(r, a, ATTEMPT_EVENT_TIMEOUT, RESULT_TIMEOUT,
-				now - v->heard_ms > SILENT_GATE_MS);
+				now - v->last_answer_at_ms > SILENT_GATE_MS);
 		return;
 	}
 	if (r->plan.keyed) {
@@ -337,7 +339,7 @@
 	if (r->done || r->streaming)
 		return;
 	if (!plan_n_open(&r->plan)) {
-		if (r->plan.resume_ms && now >= r->plan.resume_ms)
+		if (r->plan.resume_at_ms && now >= r->plan.resume_at_ms)
 			entry_step(r, plan_resume(&r->plan, now));
 		return;
 	}
@@ -369,19 +371,20 @@
 
 void entry_on_member_stopped(struct entry *e, int64_t member)
 {
-	struct gate_view *v = chooser_view(&e->chooser, member);
+	struct gate_view *v = chooser_gate_view(&e->chooser, member);
 	uint32_t i, j;
 
-	v->silent_until_ms =
-		MAX(v->silent_until_ms, clock_now_ms() + SILENT_GATE_MS);
+	v->suspect_until_ms =
+		MAX(v->suspect_until_ms, clock_now_ms() + SILENT_GATE_MS);
 	for (i = e->requests->len; i-- > 0;) {
 		struct entry_request *r = g_ptr_array_index(e->requests, i);
 
 		for (j = 0; j < MAX_ATTEMPTS; j++)
 			if (waits_for(r, j, member) &&
 			    !withdraw(r, r->attempts[j]))
-				plan_event(&r->plan, r->attempts[j]->number,
-					   ATTEMPT_EVENT_LEASE_OVER);
+				plan_attempt_event(&r->plan,
+						   r->attempts[j]->number,
+						   ATTEMPT_EVENT_LEASE_OVER);
 	}
 }
 
@@ -402,7 +405,7 @@
 				entry_end_answer(r, a, false);
 		}
 	}
-	chooser_forget(&e->chooser, member);
+	chooser_remove_gate(&e->chooser, member);
 }
 
 static void copy_headers(struct entry_request *r)
@@ -441,8 +444,8 @@
 	r->entry = e;
 	r->class_name = g_strdup("");
 	r->http = http;
-	r->plan.received_ms = clock_now_ms();
-	r->plan.deadline_ms = r->plan.received_ms;
+	r->plan.received_at_ms = clock_now_ms();
+	r->plan.deadline_ms = r->plan.received_at_ms;
 	http->user = r;
 	g_ptr_array_add(e->requests, r);
 	if (e->requests->len > MAX_REQUESTS) {
@@ -461,7 +464,7 @@
 		return;
 	copy_headers(r);
 	r->traced = event_trace_next();
-	budget_earn(entry_budget(e, r->service));
+	retry_budget_deposit(entry_budget(e, r->service));
 	if (!ev_is_active(&e->tick))
 		ev_timer_again(e->node->loop, &e->tick);
 	send_next(r);
@@ -480,7 +483,7 @@
 	      "\"class\":\"%s\",\"repeatable\":%s,\"age_ms\":%" PRId64
 	      ",\"open\":%u,\"tries\":%u,\"behind\":%u",
 	      event_text(r->class_name), r->plan.repeatable ? "true" : "false",
-	      clock_now_ms() - r->plan.received_ms, plan_n_open(&r->plan),
+	      clock_now_ms() - r->plan.received_at_ms, plan_n_open(&r->plan),
 	      r->plan.tries, httpd_behind(http));
 	r->done = true;
 	entry_cancel_others(r, NULL);
@@ -603,7 +606,7 @@
 		if (!a)
 			continue;
 		entry_cancel_attempt(r->entry, a, false);
-		plan_event(&r->plan, number, ATTEMPT_EVENT_STOPPING);
+		plan_attempt_event(&r->plan, number, ATTEMPT_EVENT_STOPPING);
 	}
 }
 
--- a/node/entry.h
+++ b/node/entry.h
@@ -26,7 +26,7 @@
 	struct chooser chooser;
 	GHashTable *
 		moved_on; /* int64_t shard -> int64_t fence, see entry-pick.c */
-	GHashTable *budgets; /* service -> struct budget */
+	GHashTable *budgets; /* service -> struct retry_budget */
 	GHashTable *attempts; /* uint64_t id -> struct attempt */
 	GPtrArray *requests; /* struct entry_request */
 	GRand *rand;
--- a/node/gate-give.c
+++ b/node/gate-give.c
@@ -20,22 +20,23 @@
 static GArray *others(const struct gate *g, int64_t now)
 {
 	const struct member_node *n = &g->node->member;
-	GArray *list = g_array_new(FALSE, FALSE, sizeof(struct balance_other));
+	GArray *list =
+		g_array_new(FALSE, FALSE, sizeof(struct balance_candidate));
 	struct member *m;
 	uint32_t i;
 
 	for_each_member (&n->fleet, m, i) {
 		struct gate_view *v;
-		struct balance_other o = { .member = m->id };
+		struct balance_candidate o = { .member = m->id };
 
 		if (m->id == n->self ||
 		    strcmp(m->service, g->node->settings.service) ||
 		    !fleet_member_takes_work(&n->fleet, m) ||
 		    member_known_stopped(n, m->id))
 			continue;
-		v = chooser_view(&g->node->entry.chooser, m->id);
-		o.use = v->use;
-		if (now - v->heard_ms < HEARD_MS)
+		v = chooser_gate_view(&g->node->entry.chooser, m->id);
+		o.utilization = v->utilization;
+		if (now - v->last_answer_at_ms < HEARD_MS)
 			g_array_append_val(list, o);
 	}
 	return list;
@@ -50,16 +51,17 @@
 
 	if (!g->balance.n_shards || !n->self)
 		return;
-	balance_tick(&g->balance,
-		     admission_load(&g->load) / MAX(g->load.limit.now, 1.0),
-		     now);
+	balance_update(&g->balance,
+		       admission_load(&g->load) / MAX(g->load.limit.now, 1.0),
+		       now);
 	shards = g_array_new(FALSE, FALSE, sizeof(uint32_t));
 	list = others(g, now);
-	if (balance_choose(&g->balance, list, may_give, n, now, &to, shards) &&
+	if (balance_choose_shards(&g->balance, list, may_give, n, now, &to,
+				  shards) &&
 	    member_give(n, to, shards, now))
 		EVENT(shards_given, NULL,
 		      "\"shards\":%u,\"to\":%" PRId64 ",\"use\":%.2f",
-		      shards->len, to, g->balance.use);
+		      shards->len, to, g->balance.utilization);
 	g_array_unref(list);
 	g_array_unref(shards);
 }
--- a/node/gate.c
+++ b/node/gate.c
@@ -540,7 +540,7 @@
 	else
 		r->shard = NO_SHARD;
 	if (r->shard >= 0)
-		balance_count(&g->balance, r->shard);
+		balance_count_request(&g->balance, r->shard);
 	g_hash_table_add(g->requests, r);
 	return r;
 }
--- a/route/balance.c
+++ b/route/balance.c
@@ -4,19 +4,19 @@
 #include "route/balance.h"
 
 /* Half of what was counted is forgotten in this time. */
-#define HALF_LIFE_MS 2000.0
-#define USE_TAU_MS 1500.0
+#define RATE_HALF_LIFE_MS 2000.0
+#define UTILIZATION_TAU_MS 1500.0
 /* Below that a server answers as fast as an idle one. */
-#define FULL_USE 0.6
+#define MIN_UTILIZATION 0.6
 /* Less of a difference is noise, and would only move back again. */
-#define LEAST_GAP 0.25
+#define MIN_UTILIZATION_GAP 0.25
 /* A server deep in its queue is not twice as far from even as a full one. */
-#define MOST_USE 2.0
+#define MAX_UTILIZATION 2.0
 /* At once; more would leave the taker with a storm of cold keys. */
-#define MOST_SHARDS 96
-#define MOST_SHARE 0.4
+#define MAX_SHARDS_PER_MOVE 96
+#define MAX_MOVED_SHARE 0.4
 /* Too cool to matter to the load, and each move costs its keys a second. */
-#define LEAST_SHARE 0.002
+#define MIN_SHARD_SHARE 0.002
 
 void balance_init(struct balance *b)
 {
@@ -25,7 +25,7 @@
 
 void balance_finish(struct balance *b)
 {
-	g_free(b->heat);
+	g_free(b->shard_rates);
 	memset(b, 0, sizeof(*b));
 }
 
@@ -33,112 +33,119 @@
 {
 	if (b->n_shards == n_shards)
 		return;
-	g_free(b->heat);
-	b->heat = g_new0(double, n_shards);
+	g_free(b->shard_rates);
+	b->shard_rates = g_new0(double, n_shards);
 	b->n_shards = n_shards;
 }
 
-void balance_count(struct balance *b, uint32_t shard)
+void balance_count_request(struct balance *b, uint32_t shard)
 {
 	/* In the long run the sum is the rate: each fades to half in time. */
 	if (shard < b->n_shards)
-		b->heat[shard] += G_LN2 * 1000 / HALF_LIFE_MS;
+		b->shard_rates[shard] += G_LN2 * 1000 / RATE_HALF_LIFE_MS;
 }
 
-void balance_tick(struct balance *b, double use, int64_t now_ms)
+void balance_update(struct balance *b, double utilization, int64_t now_ms)
 {
-	int64_t passed = now_ms - b->faded_ms;
-	double keep;
+	int64_t elapsed_ms = now_ms - b->decayed_at_ms;
+	double decay;
 	uint32_t i;
 
-	if (passed <= 0)
+	if (elapsed_ms <= 0)
 		return;
-	b->faded_ms = now_ms;
-	b->use += (MIN(use, MOST_USE) - b->use) *
-		  (1 - exp(-(double)passed / USE_TAU_MS));
-	keep = exp2(-(double)passed / HALF_LIFE_MS);
+	b->decayed_at_ms = now_ms;
+	b->utilization += (MIN(utilization, MAX_UTILIZATION) - b->utilization) *
+			  (1 - exp(-(double)elapsed_ms / UTILIZATION_TAU_MS));
+	decay = exp2(-(double)elapsed_ms / RATE_HALF_LIFE_MS);
 	for (i = 0; i < b->n_shards; i++)
-		if (b->heat[i] > 0)
-			b->heat[i] = b->heat[i] < 0.01 ? 0 : b->heat[i] * keep;
+		if (b->shard_rates[i] > 0)
+			b->shard_rates[i] = b->shard_rates[i] < 0.01
+						    ? 0
+						    : b->shard_rates[i] * decay;
 }
 
-static const struct balance_other *emptiest(const GArray *others)
+static const struct balance_candidate *find_least_utilized(const GArray *others)
 {
-	const struct balance_other *best = NULL;
+	const struct balance_candidate *best = NULL;
 	uint32_t i;
 
 	for (i = 0; i < others->len; i++) {
-		const struct balance_other *o =
-			&g_array_index(others, struct balance_other, i);
+		const struct balance_candidate *o =
+			&g_array_index(others, struct balance_candidate, i);
 
-		if (!best || o->use < best->use)
+		if (!best || o->utilization < best->utilization)
 			best = o;
 	}
 	return best;
 }
 
-struct hot {
+struct shard_rate {
 	uint32_t shard;
-	double heat;
+	double rate;
 };
 
-static int hotter(gconstpointer a, gconstpointer b)
+static int by_rate_descending(gconstpointer a, gconstpointer b)
 {
-	const struct hot *x = a;
-	const struct hot *y = b;
+	const struct shard_rate *x = a;
+	const struct shard_rate *y = b;
 
-	return (x->heat < y->heat) - (x->heat > y->heat);
+	return (x->rate < y->rate) - (x->rate > y->rate);
 }
 
-static GArray *movable(const struct balance *b,
-		       bool (*mine)(void *user, uint32_t shard), void *user,
-		       double *total)
+static GArray *list_movable_shards(const struct balance *b,
+				   bool (*may_move)(void *user, uint32_t shard),
+				   void *user, double *total)
 {
-	GArray *list = g_array_new(FALSE, FALSE, sizeof(struct hot));
+	GArray *list = g_array_new(FALSE, FALSE, sizeof(struct shard_rate));
 	uint32_t i;
 
 	*total = 0;
 	for (i = 0; i < b->n_shards; i++) {
-		struct hot h = { i, b->heat[i] };
+		struct shard_rate s = { i, b->shard_rates[i] };
 
-		if (h.heat <= 0 || !mine(user, i))
+		if (s.rate <= 0 || !may_move(user, i))
 			continue;
-		*total += h.heat;
-		g_array_append_val(list, h);
+		*total += s.rate;
+		g_array_append_val(list, s);
 	}
-	g_array_sort(list, hotter);
+	g_array_sort(list, by_rate_descending);
 	return list;
 }
 
-bool balance_choose(struct balance *b, const GArray *others,
-		    bool (*mine)(void *user, uint32_t shard), void *user,
-		    int64_t now_ms, int64_t *to, GArray *shards)
+bool balance_choose_shards(struct balance *b, const GArray *others,
+			   bool (*may_move)(void *user, uint32_t shard),
+			   void *user, int64_t now_ms, int64_t *target,
+			   GArray *shards)
 {
-	const struct balance_other *o = emptiest(others);
+	const struct balance_candidate *o = find_least_utilized(others);
 	GArray *list;
-	double total, left;
+	double total, remaining;
 	uint32_t i;
 
-	if (now_ms < b->next_ms || !o || b->use < FULL_USE ||
-	    b->use - o->use < LEAST_GAP)
+	if (now_ms < b->next_move_at_ms || !o ||
+	    b->utilization < MIN_UTILIZATION ||
+	    b->utilization - o->utilization < MIN_UTILIZATION_GAP)
 		return false;
-	list = movable(b, mine, user, &total);
+	list = list_movable_shards(b, may_move, user, &total);
 	/* What makes both equally full, were they equally fast. */
-	left = total * MIN((b->use - o->use) / (2 * b->use), MOST_SHARE);
-	for (i = 0; i < list->len && shards->len < MOST_SHARDS; i++) {
-		const struct hot *h = &g_array_index(list, struct hot, i);
-
-		if (h->heat < total * LEAST_SHARE)
+	remaining = total * MIN((b->utilization - o->utilization) /
+					(2 * b->utilization),
+				MAX_MOVED_SHARE);
+	for (i = 0; i < list->len && shards->len < MAX_SHARDS_PER_MOVE; i++) {
+		const struct shard_rate *s =
+			&g_array_index(list, struct shard_rate, i);
+
+		if (s->rate < total * MIN_SHARD_SHARE)
 			break;
-		if (h->heat > left)
+		if (s->rate > remaining)
 			continue;
-		left -= h->heat;
-		g_array_append_val(shards, h->shard);
+		remaining -= s->rate;
+		g_array_append_val(shards, s->shard);
 	}
 	g_array_unref(list);
 	if (!shards->len)
 		return false;
-	*to = o->member;
-	b->next_ms = now_ms + BALANCE_REST_MS;
+	*target = o->member;
+	b->next_move_at_ms = now_ms + BALANCE_MIN_INTERVAL_MS;
 	return true;
 }
--- a/route/balance.h
+++ b/route/balance.h
@@ -19,17 +19,18 @@
  */
 
 struct balance {
-	double *heat; /* per shard, requests a second, fading */
+	double *shard_rates; /* per shard, requests a second, fading */
 	uint32_t n_shards;
-	double use; /* of our slots, waiting requests included, smoothed */
-	int64_t faded_ms;
-	int64_t next_ms; /* no giving before */
+	double utilization; /* of our slots, waiting requests included, smoothed
+			     */
+	int64_t decayed_at_ms;
+	int64_t next_move_at_ms; /* no giving before */
 };
 
 /* Another owner of the service, by what its answers said. */
-struct balance_other {
+struct balance_candidate {
 	int64_t member;
-	double use;
+	double utilization;
 };
 
 void balance_init(struct balance *b);
@@ -37,19 +38,20 @@
 void balance_resize(struct balance *b, uint32_t n_shards);
 
 /* A request for a shard was admitted. */
-void balance_count(struct balance *b, uint32_t shard);
+void balance_count_request(struct balance *b, uint32_t shard);
 
 /* Let time pass; use is that of the moment. */
-void balance_tick(struct balance *b, double use, int64_t now_ms);
+void balance_update(struct balance *b, double utilization, int64_t now_ms);
 
 /*
  * Choose what to give. mine(user, shard) tells the shards that may move. On
  * true, *to and shards (uint32_t, appended) say what; the next time is not
- * before BALANCE_REST_MS from now.
+ * before BALANCE_MIN_INTERVAL_MS from now.
  */
-#define BALANCE_REST_MS 3000
-bool balance_choose(struct balance *b, const GArray *others,
-		    bool (*mine)(void *user, uint32_t shard), void *user,
-		    int64_t now_ms, int64_t *to, GArray *shards);
+#define BALANCE_MIN_INTERVAL_MS 3000
+bool balance_choose_shards(struct balance *b, const GArray *others,
+			   bool (*may_move)(void *user, uint32_t shard),
+			   void *user, int64_t now_ms, int64_t *target,
+			   GArray *shards);
 
 #endif
--- a/route/budget.c
+++ b/route/budget.c
@@ -1,7 +1,7 @@
 #include "route/budget.h"
 
 /* Begin with a full reserve. */
-void budget_init(struct budget *b, double share, double reserve)
+void retry_budget_init(struct retry_budget *b, double share, double reserve)
 {
 	b->share = share;
 	b->reserve = reserve;
@@ -9,7 +9,7 @@
 }
 
 /* Count a first attempt. */
-void budget_earn(struct budget *b)
+void retry_budget_deposit(struct retry_budget *b)
 {
 	b->tokens += b->share;
 	if (b->tokens > b->reserve)
@@ -17,7 +17,7 @@
 }
 
 /* Ask for one extra attempt. */
-bool budget_spend(struct budget *b)
+bool retry_budget_withdraw(struct retry_budget *b)
 {
 	if (b->tokens < 1)
 		return false;
--- a/route/budget.h
+++ b/route/budget.h
@@ -8,14 +8,14 @@
  * a reserve. It bounds what retries and hedges can add to the load, so that a
  * bad minute does not double it and keep itself going.
  */
-struct budget {
+struct retry_budget {
 	double tokens;
 	double share;
 	double reserve;
 };
 
-void budget_init(struct budget *b, double share, double reserve);
-void budget_earn(struct budget *b);
-bool budget_spend(struct budget *b);
+void retry_budget_init(struct retry_budget *b, double share, double reserve);
+void retry_budget_deposit(struct retry_budget *b);
+bool retry_budget_withdraw(struct retry_budget *b);
 
 #endif
--- a/route/choose.h
+++ b/route/choose.h
@@ -16,12 +16,12 @@
 	double load; /* in flight and queued, as the gate last said */
 	double limit; /* as the gate last said */
 	double latency_ms; /* smoothed */
-	double use; /* load by limit, smoothed over its answers */
-	int64_t heard_ms;
+	double utilization; /* load by limit, smoothed over its answers */
+	int64_t last_answer_at_ms;
 	int64_t avoid_until_ms; /* it said so, or was silent */
-	int64_t silent_until_ms; /* it was silent, and may be lost */
-	int64_t waiting_since_ms; /* oldest without an answer, 0 none */
-	bool ended; /* it said so, and takes nothing any more */
+	int64_t suspect_until_ms; /* it was silent, and may be lost */
+	int64_t no_progress_since_ms; /* oldest without an answer, 0 none */
+	bool stop_announced; /* it said so, and takes nothing any more */
 };
 
 struct chooser;
@@ -37,12 +37,12 @@
 struct chooser_ops {
 	const char *name;
 	int64_t (*pick)(struct chooser *c, const struct gate_option *options,
-			uint32_t n, int64_t home, int64_t except,
+			uint32_t n, int64_t local, int64_t excluded,
 			int64_t now_ms);
 };
 
-extern const struct chooser_ops chooser_two;
-extern const struct chooser_ops chooser_turns;
+extern const struct chooser_ops chooser_two_choices;
+extern const struct chooser_ops chooser_round_robin;
 extern const struct chooser_ops chooser_soonest;
 
 /* The ops of a name, NULL when there are none. */
@@ -50,7 +50,7 @@
 
 struct chooser {
 	const struct chooser_ops *ops;
-	uint32_t turn;
+	uint32_t round_robin_next;
 	GHashTable *views; /* int64_t member -> struct gate_view */
 	GRand *rand;
 };
@@ -58,8 +58,8 @@
 void chooser_init(struct chooser *c, const struct chooser_ops *ops,
 		  uint32_t seed);
 void chooser_finish(struct chooser *c);
-struct gate_view *chooser_view(struct chooser *c, int64_t member);
-void chooser_forget(struct chooser *c, int64_t member);
+struct gate_view *chooser_gate_view(struct chooser *c, int64_t member);
+void chooser_remove_gate(struct chooser *c, int64_t member);
 
 /* A request went out to a gate. */
 void chooser_sent(struct chooser *c, int64_t member, int64_t now_ms);
@@ -69,8 +69,8 @@
 		      double load, double limit, int64_t now_ms);
 
 /* It was given up or cancelled, with no word from the gate. */
-void chooser_dropped(struct chooser *c, int64_t member, bool silent,
-		     int64_t now_ms);
+void chooser_unanswered(struct chooser *c, int64_t member, bool suspect,
+			int64_t now_ms);
 
 /* The gate refused for load or for draining: leave it alone for a moment. */
 void chooser_refused(struct chooser *c, int64_t member, int64_t avoid_ms,
@@ -87,6 +87,7 @@
  * worse. Returns 0 when there is none.
  */
 int64_t chooser_pick(struct chooser *c, const struct gate_option *options,
-		     uint32_t n, int64_t home, int64_t except, int64_t now_ms);
+		     uint32_t n, int64_t local, int64_t excluded,
+		     int64_t now_ms);
 
 #endif
--- a/route/cost.h
+++ b/route/cost.h
@@ -12,8 +12,8 @@
 
 /* Smoothed over all gates. */
 struct class_cost {
-	double bytes; /* of an answer */
-	double ms; /* from sending to the answer's head, 0 unknown */
+	double answer_bytes; /* of an answer */
+	double latency_ms; /* from sending to the answer's head, 0 unknown */
 };
 
 /*
@@ -24,12 +24,12 @@
 #define NOMINAL_MS 100.0
 
 /* An answer's head came after ms; an answer ended with bytes. */
-void cost_learn_ms(struct class_cost *c, double ms);
-void cost_learn_bytes(struct class_cost *c, double bytes);
+void cost_update_latency(struct class_cost *c, double ms);
+void cost_update_bytes(struct class_cost *c, double bytes);
 
 /* A time of this class on the nominal scale, and one back from it. */
-double cost_nominal_ms(const struct class_cost *c, double ms);
-double cost_usual_ms(const struct class_cost *c, double nominal_ms);
+double cost_to_nominal_ms(const struct class_cost *c, double ms);
+double cost_from_nominal_ms(const struct class_cost *c, double nominal_ms);
 
 /*
  * What a gate in another data centre costs a request, on the nominal scale:
@@ -48,7 +48,7 @@
  * How long to wait for the owner of a key before whoever would inherit the key
  * is asked beside it; left_ms is all the time the request has.
  */
-double cost_owner_patience_ms(double usual_ms, double target_ms,
-			      double left_ms);
+double cost_owner_hedge_delay_ms(double usual_ms, double target_ms,
+				 double left_ms);
 
 #endif
--- a/route/plan.c
+++ b/route/plan.c
@@ -11,48 +11,48 @@
 /* A caller that returns later than this share of its time left has none. */
 #define RETRY_SHARE 0.3
 /* Gates without a key that cannot be reached, tried in a row. */
-#define UNSENT_ROUND 4
+#define UNSENT_PER_ROUND 4
 
 /* Where an event takes an attempt. */
-struct move {
+struct transition {
 	enum attempt_state to;
 	bool open;
 };
 
 /* Nothing more can become known of an attempt that is at its end. */
-static const struct move moves[ATTEMPT_N_EVENTS][ATTEMPT_N_STATES] = {
-	[ATTEMPT_EVENT_LEFT] = {
+static const struct transition transitions[ATTEMPT_N_EVENTS][ATTEMPT_N_STATES] = {
+	[ATTEMPT_EVENT_SENT] = {
 		[ATTEMPT_NOT_SENT] = { ATTEMPT_SENT, true },
 		[ATTEMPT_SENT] = { ATTEMPT_SENT, true },
 	},
 	/* Too late for one that has left. */
-	[ATTEMPT_EVENT_WITHDRAWN] = {
+	[ATTEMPT_EVENT_UNSENT] = {
 		[ATTEMPT_NOT_SENT] = { ATTEMPT_NOT_SENT, false },
 		[ATTEMPT_SENT] = { ATTEMPT_SENT, true },
 	},
 	[ATTEMPT_EVENT_REFUSED] = {
-		[ATTEMPT_NOT_SENT] = { ATTEMPT_NOT_BEGUN, false },
-		[ATTEMPT_SENT] = { ATTEMPT_NOT_BEGUN, false },
+		[ATTEMPT_NOT_SENT] = { ATTEMPT_NOT_RUN, false },
+		[ATTEMPT_SENT] = { ATTEMPT_NOT_RUN, false },
 	},
-	[ATTEMPT_EVENT_TURNED_AWAY] = {
-		[ATTEMPT_NOT_SENT] = { ATTEMPT_NOT_BEGUN, false },
-		[ATTEMPT_SENT] = { ATTEMPT_NOT_BEGUN, false },
+	[ATTEMPT_EVENT_SERVER_REFUSED] = {
+		[ATTEMPT_NOT_SENT] = { ATTEMPT_NOT_RUN, false },
+		[ATTEMPT_SENT] = { ATTEMPT_NOT_RUN, false },
 	},
 	[ATTEMPT_EVENT_CUT] = {
-		[ATTEMPT_NOT_SENT] = { ATTEMPT_BEGUN, false },
-		[ATTEMPT_SENT] = { ATTEMPT_BEGUN, false },
+		[ATTEMPT_NOT_SENT] = { ATTEMPT_STARTED, false },
+		[ATTEMPT_SENT] = { ATTEMPT_STARTED, false },
 	},
-	[ATTEMPT_EVENT_LATE] = {
-		[ATTEMPT_NOT_SENT] = { ATTEMPT_BEGUN, false },
-		[ATTEMPT_SENT] = { ATTEMPT_BEGUN, false },
+	[ATTEMPT_EVENT_SERVER_LATE] = {
+		[ATTEMPT_NOT_SENT] = { ATTEMPT_STARTED, false },
+		[ATTEMPT_SENT] = { ATTEMPT_STARTED, false },
 	},
 	[ATTEMPT_EVENT_IN_DOUBT] = {
 		[ATTEMPT_NOT_SENT] = { ATTEMPT_UNKNOWN, false },
 		[ATTEMPT_SENT] = { ATTEMPT_UNKNOWN, false },
 	},
 	[ATTEMPT_EVENT_MIXED] = {
-		[ATTEMPT_NOT_SENT] = { ATTEMPT_BEGUN, false },
-		[ATTEMPT_SENT] = { ATTEMPT_BEGUN, false },
+		[ATTEMPT_NOT_SENT] = { ATTEMPT_STARTED, false },
+		[ATTEMPT_SENT] = { ATTEMPT_STARTED, false },
 	},
 	[ATTEMPT_EVENT_LEASE_OVER] = {
 		[ATTEMPT_NOT_SENT] = { ATTEMPT_NOT_SENT, false },
@@ -76,7 +76,7 @@
 	},
 };
 
-int plan_begin(struct plan *p)
+int plan_add_attempt(struct plan *p)
 {
 	if (p->tries >= PLAN_MAX_TRIES)
 		return RESULT_OVERLOAD;
@@ -84,19 +84,19 @@
 	return (int)p->tries++;
 }
 
-void plan_event(struct plan *p, uint32_t attempt, enum attempt_event e)
+void plan_attempt_event(struct plan *p, uint32_t attempt, enum attempt_event e)
 {
 	struct plan_attempt *a = &p->attempts[attempt];
-	const struct move *m;
+	const struct transition *t;
 
 	if (!a->open)
 		return;
-	m = &moves[e][a->state];
-	if (m->to != a->state || !m->open)
-		a->last = e;
-	a->state = m->to;
-	a->open = m->open;
-	a->turned_away = e == ATTEMPT_EVENT_TURNED_AWAY;
+	t = &transitions[e][a->state];
+	if (t->to != a->state || !t->open)
+		a->last_event = e;
+	a->state = t->to;
+	a->open = t->open;
+	a->server_refused = e == ATTEMPT_EVENT_SERVER_REFUSED;
 	a->lease_over = a->lease_over || e == ATTEMPT_EVENT_LEASE_OVER;
 }
 
@@ -106,7 +106,7 @@
  */
 static bool may_have_run(const struct plan_attempt *a)
 {
-	return a->state == ATTEMPT_SENT || a->state == ATTEMPT_BEGUN ||
+	return a->state == ATTEMPT_SENT || a->state == ATTEMPT_STARTED ||
 	       a->state == ATTEMPT_UNKNOWN;
 }
 
@@ -132,14 +132,14 @@
 
 enum plan_cause plan_cause(const struct plan_attempt *a)
 {
-	switch (a->last) {
+	switch (a->last_event) {
 	case ATTEMPT_EVENT_SUPERSEDED:
 		return PLAN_CAUSE_gate_gone;
 	case ATTEMPT_EVENT_STOPPING:
 		return PLAN_CAUSE_stopping;
 	case ATTEMPT_EVENT_IN_DOUBT:
 		return PLAN_CAUSE_id_in_doubt;
-	case ATTEMPT_EVENT_LATE:
+	case ATTEMPT_EVENT_SERVER_LATE:
 		return PLAN_CAUSE_server_late;
 	case ATTEMPT_EVENT_CUT:
 		return PLAN_CAUSE_cut;
@@ -172,7 +172,7 @@
 	return n;
 }
 
-uint32_t plan_n_reached(const struct plan *p)
+uint32_t plan_n_servers_reached(const struct plan *p)
 {
 	uint32_t n = 0;
 	uint32_t i;
@@ -180,17 +180,17 @@
 	for (i = 0; i < p->tries; i++) {
 		const struct plan_attempt *a = &p->attempts[i];
 
-		n += !a->open && (may_have_run(a) || a->turned_away);
+		n += !a->open && (may_have_run(a) || a->server_refused);
 	}
 	return n;
 }
 
-bool plan_may_reach(const struct plan *p)
+bool plan_may_reach_server(const struct plan *p)
 {
-	return plan_n_reached(p) + plan_n_open(p) < p->max_reached;
+	return plan_n_servers_reached(p) + plan_n_open(p) < p->max_servers;
 }
 
-static enum plan_step give_up(const struct plan *p)
+static enum plan_step final_step(const struct plan *p)
 {
 	return plan_outcome(p) == PLAN_NOT_RUN ? PLAN_REFUSE : PLAN_UNKNOWN;
 }
@@ -203,16 +203,16 @@
 {
 	int64_t ms = MIN(ROUND_WAIT_MS << MIN(p->rounds, 8), ROUND_WAIT_MAX_MS);
 
-	p->resume_ms = now_ms + ms + (int64_t)(jitter * ms / 2);
-	if (p->resume_ms > p->hold_until_ms)
-		p->resume_ms = p->hold_until_ms;
-	if (p->resume_ms <= now_ms || p->tries >= PLAN_MAX_TRIES)
-		return give_up(p);
+	p->resume_at_ms = now_ms + ms + (int64_t)(jitter * ms / 2);
+	if (p->resume_at_ms > p->hold_until_ms)
+		p->resume_at_ms = p->hold_until_ms;
+	if (p->resume_at_ms <= now_ms || p->tries >= PLAN_MAX_TRIES)
+		return final_step(p);
 	p->rounds++;
 	return PLAN_WAIT;
 }
 
-enum plan_step plan_nobody(struct plan *p, double jitter, int64_t now_ms)
+enum plan_step plan_no_candidate(struct plan *p, double jitter, int64_t now_ms)
 {
 	if (plan_n_open(p))
 		return PLAN_PENDING;
@@ -221,30 +221,33 @@
 
 enum plan_step plan_resume(struct plan *p, int64_t now_ms)
 {
-	p->resume_ms = 0;
+	p->resume_at_ms = 0;
 	if (plan_n_open(p))
 		return PLAN_PENDING;
-	if (now_ms >= p->deadline_ms || !plan_may_reach(p))
-		return give_up(p);
+	if (now_ms >= p->deadline_ms || !plan_may_reach_server(p))
+		return final_step(p);
 	return PLAN_SEND;
 }
 
 enum plan_step plan_refused(struct plan *p, uint32_t attempt, bool not_owner,
-			    bool reached, int64_t wait_ms, struct budget *b,
-			    double jitter, int64_t now_ms)
+			    bool server_refused, int64_t wait_ms,
+			    struct retry_budget *b, double jitter,
+			    int64_t now_ms)
 {
-	plan_event(p, attempt,
-		   reached ? ATTEMPT_EVENT_TURNED_AWAY : ATTEMPT_EVENT_REFUSED);
+	plan_attempt_event(p, attempt,
+			   server_refused ? ATTEMPT_EVENT_SERVER_REFUSED
+					  : ATTEMPT_EVENT_REFUSED);
 	p->refusals++;
 	p->wait_ms = MAX(p->wait_ms, wait_ms);
 	if (plan_n_open(p))
 		return PLAN_PENDING;
 	if (p->tries >= PLAN_MAX_TRIES || now_ms >= p->deadline_ms ||
-	    !plan_may_reach(p))
-		return give_up(p);
+	    !plan_may_reach_server(p))
+		return final_step(p);
 	/* A server that turned it away has been sent it: the next is a repeat. */
-	if (not_owner && p->keyed && reached && !budget_spend(b))
-		return give_up(p);
+	if (not_owner && p->keyed && server_refused &&
+	    !retry_budget_withdraw(b))
+		return final_step(p);
 	if (not_owner && p->keyed) {
 		/*
 		 * The key is changing owners. Asking the next candidate costs
@@ -254,42 +257,44 @@
 			return PLAN_SEND;
 		return wait_round(p, jitter, now_ms);
 	}
-	if (p->keyed || p->refusals > PLAN_MAX_OFFERS)
-		return give_up(p);
+	if (p->keyed || p->refusals > PLAN_MAX_LOAD_REFUSALS)
+		return final_step(p);
 	/* A second server is a repeat; another gate alone is not. */
-	if (reached && !budget_spend(b))
-		return give_up(p);
+	if (server_refused && !retry_budget_withdraw(b))
+		return final_step(p);
 	return PLAN_SEND;
 }
 
 /* No gate got it: the next may, and that is no repeat. */
 static enum plan_step not_sent(struct plan *p, double jitter, int64_t now_ms)
 {
-	p->unsent++;
+	p->n_unsent++;
 	p->refusals += p->keyed;
 	if (plan_n_open(p))
 		return PLAN_PENDING;
 	if (p->tries >= PLAN_MAX_TRIES || now_ms >= p->deadline_ms ||
-	    !plan_may_reach(p))
-		return give_up(p);
+	    !plan_may_reach_server(p))
+		return final_step(p);
 	/* All of them out of reach is a moment to wait. */
-	if (p->keyed ? p->refusals % 2 : p->unsent % UNSENT_ROUND)
+	if (p->keyed ? p->refusals % 2 : p->n_unsent % UNSENT_PER_ROUND)
 		return PLAN_SEND;
 	return wait_round(p, jitter, now_ms);
 }
 
-enum plan_step plan_ended(struct plan *p, uint32_t attempt,
-			  enum attempt_event why, struct budget *b,
-			  double jitter, int64_t now_ms)
+enum plan_step plan_attempt_ended(struct plan *p, uint32_t attempt,
+				  enum attempt_event why,
+				  struct retry_budget *b, double jitter,
+				  int64_t now_ms)
 {
-	plan_event(p, attempt, why);
+	plan_attempt_event(p, attempt, why);
 	if (p->attempts[attempt].state == ATTEMPT_NOT_SENT)
 		return not_sent(p, jitter, now_ms);
 	if (plan_n_open(p))
 		return PLAN_PENDING;
 	if (!p->repeatable || p->tries >= PLAN_MAX_TRIES ||
-	    now_ms >= p->deadline_ms || !plan_may_reach(p) || !budget_spend(b))
-		return give_up(p);
+	    now_ms >= p->deadline_ms || !plan_may_reach_server(p) ||
+	    !retry_budget_withdraw(b))
+		return final_step(p);
 	return PLAN_SEND;
 }
 
--- a/t/test-route.c
+++ b/t/test-route.c
@@ -11,14 +11,14 @@
  */
 static void test_budget_bounds_retries(void)
 {
-	struct budget b;
+	struct retry_budget b;
 	int spent = 0;
 	int i;
 
-	budget_init(&b, 0.1, 10);
+	retry_budget_init(&b, 0.1, 10);
 	for (i = 0; i < 1000; i++) {
-		budget_earn(&b);
-		spent += budget_spend(&b);
+		retry_budget_deposit(&b);
+		spent += retry_budget_withdraw(&b);
 	}
 	g_assert_cmpint(spent, <=, 110);
 	g_assert_cmpint(spent, >=, 90);
@@ -42,20 +42,21 @@
  */
 static void test_turned_away_spends_budget(void)
 {
-	struct budget b;
+	struct retry_budget b;
 	uint32_t sent = 0;
 	uint32_t i;
 
-	budget_init(&b, 0.2, 10);
+	retry_budget_init(&b, 0.2, 10);
 	for (i = 0; i < 1000; i++) {
 		struct plan p = { .repeatable = true,
 				  .keyed = true,
 				  .deadline_ms = 1000,
 				  .hold_until_ms = 100,
-				  .max_reached = 3 };
+				  .max_servers = 3 };
 
-		budget_earn(&b);
-		plan_event(&p, plan_begin(&p), ATTEMPT_EVENT_LEFT);
+		retry_budget_deposit(&b);
+		plan_attempt_event(&p, plan_add_attempt(&p),
+				   ATTEMPT_EVENT_SENT);
 		sent += plan_refused(&p, 0, true, true, 0, &b, 0, 0) ==
 			PLAN_SEND;
 	}
@@ -79,14 +80,14 @@
 	}
 
 static const struct expected table[] = {
-	{ ATTEMPT_EVENT_LEFT, STAYS(SENT), STAYS(SENT) },
-	{ ATTEMPT_EVENT_WITHDRAWN, ENDS(NOT_SENT), STAYS(SENT) },
-	{ ATTEMPT_EVENT_REFUSED, ENDS(NOT_BEGUN), ENDS(NOT_BEGUN) },
-	{ ATTEMPT_EVENT_TURNED_AWAY, ENDS(NOT_BEGUN), ENDS(NOT_BEGUN) },
-	{ ATTEMPT_EVENT_CUT, ENDS(BEGUN), ENDS(BEGUN) },
-	{ ATTEMPT_EVENT_LATE, ENDS(BEGUN), ENDS(BEGUN) },
+	{ ATTEMPT_EVENT_SENT, STAYS(SENT), STAYS(SENT) },
+	{ ATTEMPT_EVENT_UNSENT, ENDS(NOT_SENT), STAYS(SENT) },
+	{ ATTEMPT_EVENT_REFUSED, ENDS(NOT_RUN), ENDS(NOT_RUN) },
+	{ ATTEMPT_EVENT_SERVER_REFUSED, ENDS(NOT_RUN), ENDS(NOT_RUN) },
+	{ ATTEMPT_EVENT_CUT, ENDS(STARTED), ENDS(STARTED) },
+	{ ATTEMPT_EVENT_SERVER_LATE, ENDS(STARTED), ENDS(STARTED) },
 	{ ATTEMPT_EVENT_IN_DOUBT, ENDS(UNKNOWN), ENDS(UNKNOWN) },
-	{ ATTEMPT_EVENT_MIXED, ENDS(BEGUN), ENDS(BEGUN) },
+	{ ATTEMPT_EVENT_MIXED, ENDS(STARTED), ENDS(STARTED) },
 	{ ATTEMPT_EVENT_LEASE_OVER, ENDS(NOT_SENT), STAYS(SENT) },
 	{ ATTEMPT_EVENT_SUPERSEDED, ENDS(NOT_SENT), ENDS(UNKNOWN) },
 	{ ATTEMPT_EVENT_TIMEOUT, ENDS(NOT_SENT), ENDS(UNKNOWN) },
@@ -110,22 +111,22 @@
 		struct plan p = { 0 };
 		struct plan_attempt end;
 
-		g_assert_cmpint(plan_begin(&p), ==, 0);
-		g_assert_cmpint(plan_begin(&p), ==, 1);
-		plan_event(&p, 0, table[i].event);
+		g_assert_cmpint(plan_add_attempt(&p), ==, 0);
+		g_assert_cmpint(plan_add_attempt(&p), ==, 1);
+		plan_attempt_event(&p, 0, table[i].event);
 		check_attempt(&p.attempts[0], &table[i].unsent);
-		plan_event(&p, 1, ATTEMPT_EVENT_LEFT);
-		plan_event(&p, 1, table[i].event);
+		plan_attempt_event(&p, 1, ATTEMPT_EVENT_SENT);
+		plan_attempt_event(&p, 1, table[i].event);
 		check_attempt(&p.attempts[1], &table[i].sent);
 		if (p.attempts[1].open)
 			continue;
-		g_assert_cmpint(p.attempts[1].last, ==, table[i].event);
+		g_assert_cmpint(p.attempts[1].last_event, ==, table[i].event);
 		/* Nothing moves it any more. */
 		end = p.attempts[1];
 		for (j = 0; j < ATTEMPT_N_EVENTS; j++)
-			plan_event(&p, 1, j);
+			plan_attempt_event(&p, 1, j);
 		check_attempt(&p.attempts[1], &end);
-		g_assert_cmpint(p.attempts[1].last, ==, end.last);
+		g_assert_cmpint(p.attempts[1].last_event, ==, end.last_event);
 	}
 }
 
@@ -133,9 +134,9 @@
 static bool may_be_refused(const struct plan_attempt *a)
 {
 	return a->state == ATTEMPT_NOT_SENT ||
-	       (a->state == ATTEMPT_NOT_BEGUN &&
-		(a->last == ATTEMPT_EVENT_REFUSED ||
-		 a->last == ATTEMPT_EVENT_TURNED_AWAY));
+	       (a->state == ATTEMPT_NOT_RUN &&
+		(a->last_event == ATTEMPT_EVENT_REFUSED ||
+		 a->last_event == ATTEMPT_EVENT_SERVER_REFUSED));
 }
 
 /* Every two attempts, each after every two events. */
@@ -145,16 +146,16 @@
 	uint32_t i;
 
 	for (i = 0; i < n * n * n * n; i++) {
-		struct plan p = { .max_reached = 2 };
+		struct plan p = { .max_servers = 2 };
 		const struct plan_attempt *a = p.attempts;
 		bool answered, refused;
 
-		plan_begin(&p);
-		plan_begin(&p);
-		plan_event(&p, 0, i % n);
-		plan_event(&p, 0, i / n % n);
-		plan_event(&p, 1, i / n / n % n);
-		plan_event(&p, 1, i / n / n / n);
+		plan_add_attempt(&p);
+		plan_add_attempt(&p);
+		plan_attempt_event(&p, 0, i % n);
+		plan_attempt_event(&p, 0, i / n % n);
+		plan_attempt_event(&p, 1, i / n / n % n);
+		plan_attempt_event(&p, 1, i / n / n / n);
 		answered = a[0].state == ATTEMPT_ANSWERED ||
 			   a[1].state == ATTEMPT_ANSWERED;
 		refused = may_be_refused(&a[0]) && may_be_refused(&a[1]);
@@ -170,16 +171,16 @@
 {
 	return (struct plan){ .deadline_ms = 1000,
 			      .hold_until_ms = 100,
-			      .max_reached = 2 };
+			      .max_servers = 2 };
 }
 
 static enum plan_step end(struct plan *p, enum attempt_event why,
 			  int64_t now_ms)
 {
-	struct budget b;
+	struct retry_budget b;
 
-	budget_init(&b, 0.2, 10);
-	return plan_ended(p, p->tries - 1, why, &b, 0, now_ms);
+	retry_budget_init(&b, 0.2, 10);
+	return plan_attempt_ended(p, p->tries - 1, why, &b, 0, now_ms);
 }
 
 /* A booking for a gate whose process has ended goes to another gate. */
@@ -189,19 +190,19 @@
 	enum plan_step step = PLAN_SEND;
 	uint32_t n;
 
-	plan_begin(&p);
-	g_assert_cmpint(end(&p, ATTEMPT_EVENT_WITHDRAWN, 10), ==, PLAN_SEND);
-	plan_begin(&p);
-	plan_event(&p, 1, ATTEMPT_EVENT_LEFT);
+	plan_add_attempt(&p);
+	g_assert_cmpint(end(&p, ATTEMPT_EVENT_UNSENT, 10), ==, PLAN_SEND);
+	plan_add_attempt(&p);
+	plan_attempt_event(&p, 1, ATTEMPT_EVENT_SENT);
 	g_assert_cmpint(end(&p, ATTEMPT_EVENT_TIMEOUT, 20), ==, PLAN_UNKNOWN);
 	p = booking();
-	plan_begin(&p);
+	plan_add_attempt(&p);
 	g_assert_cmpint(end(&p, ATTEMPT_EVENT_TIMEOUT, 1000), ==, PLAN_REFUSE);
 	/* With no gate in reach the caller is told so, not kept waiting. */
 	p = booking();
 	for (n = 0; n < PLAN_MAX_TRIES && step == PLAN_SEND; n++) {
-		plan_begin(&p);
-		step = end(&p, ATTEMPT_EVENT_WITHDRAWN, 100);
+		plan_add_attempt(&p);
+		step = end(&p, ATTEMPT_EVENT_UNSENT, 100);
 	}
 	g_assert_cmpint(step, ==, PLAN_REFUSE);
 	g_assert_cmpuint(n, <=, 4);
@@ -218,7 +219,7 @@
 		{ ATTEMPT_EVENT_SUPERSEDED, PLAN_CAUSE_gate_gone },
 		{ ATTEMPT_EVENT_STOPPING, PLAN_CAUSE_stopping },
 		{ ATTEMPT_EVENT_IN_DOUBT, PLAN_CAUSE_id_in_doubt },
-		{ ATTEMPT_EVENT_LATE, PLAN_CAUSE_server_late },
+		{ ATTEMPT_EVENT_SERVER_LATE, PLAN_CAUSE_server_late },
 		{ ATTEMPT_EVENT_CUT, PLAN_CAUSE_cut },
 		{ ATTEMPT_EVENT_MIXED, PLAN_CAUSE_mixed },
 	};
@@ -227,17 +228,17 @@
 
 	for (i = 0; i < G_N_ELEMENTS(causes); i++) {
 		p = booking();
-		plan_begin(&p);
-		plan_event(&p, 0, ATTEMPT_EVENT_LEFT);
-		plan_event(&p, 0, causes[i].last);
+		plan_add_attempt(&p);
+		plan_attempt_event(&p, 0, ATTEMPT_EVENT_SENT);
+		plan_attempt_event(&p, 0, causes[i].last);
 		g_assert_cmpint(plan_cause(plan_in_doubt(&p)), ==,
 				causes[i].cause);
 	}
 	p = booking();
-	plan_begin(&p);
-	plan_event(&p, 0, ATTEMPT_EVENT_LEFT);
-	plan_event(&p, 0, ATTEMPT_EVENT_LEASE_OVER);
-	plan_event(&p, 0, ATTEMPT_EVENT_TIMEOUT);
+	plan_add_attempt(&p);
+	plan_attempt_event(&p, 0, ATTEMPT_EVENT_SENT);
+	plan_attempt_event(&p, 0, ATTEMPT_EVENT_LEASE_OVER);
+	plan_attempt_event(&p, 0, ATTEMPT_EVENT_TIMEOUT);
 	g_assert_cmpint(plan_cause(plan_in_doubt(&p)), ==,
 			PLAN_CAUSE_lease_over);
 }
@@ -249,8 +250,8 @@
 	int i;
 
 	for (i = 0; i < PLAN_MAX_TRIES; i++)
-		g_assert_cmpint(plan_begin(&p), ==, i);
-	g_assert_cmpint(plan_begin(&p), ==, RESULT_OVERLOAD);
+		g_assert_cmpint(plan_add_attempt(&p), ==, i);
+	g_assert_cmpint(plan_add_attempt(&p), ==, RESULT_OVERLOAD);
 }
 
 /*
@@ -263,7 +264,7 @@
 	struct chooser c;
 	int i;
 
-	chooser_init(&c, &chooser_two, 1);
+	chooser_init(&c, &chooser_two_choices, 1);
 	for (i = 0; i < 4; i++) {
 		chooser_sent(&c, ids[i].member, 0);
 		chooser_answered(&c, ids[i].member, 2, 1, 10, 2);
@@ -281,7 +282,7 @@
 	struct chooser c;
 	int i;
 
-	chooser_init(&c, &chooser_two, 2);
+	chooser_init(&c, &chooser_two_choices, 2);
 	for (i = 0; i < 4; i++) {
 		chooser_sent(&c, ids[i].member, 0);
 		chooser_answered(&c, ids[i].member, 2 + 0.1 * i, 1, 10, 2);
@@ -297,7 +298,7 @@
 	struct gate_option ids[] = { { 1, 0 }, { 2, 0 } };
 	struct chooser c;
 
-	chooser_init(&c, &chooser_two, 3);
+	chooser_init(&c, &chooser_two_choices, 3);
 	g_assert_cmpint(chooser_pick(&c, ids, 2, 0, 1, 0), ==, 2);
 	g_assert_cmpint(chooser_pick(&c, ids, 1, 0, 1, 0), ==, 0);
 	chooser_finish(&c);
@@ -354,7 +355,8 @@
 static void test_stopping_gate_is_left_alone(void)
 {
 	struct gate_option options[] = { { .member = 1 }, { .member = 2 } };
-	const struct chooser_ops *ways[] = { &chooser_soonest, &chooser_two };
+	const struct chooser_ops *ways[] = { &chooser_soonest,
+					     &chooser_two_choices };
 	uint32_t i, w;
 
 	for (w = 0; w < G_N_ELEMENTS(ways); w++) {
