--- a/route/balance.c
+++ b/route/balance.c
@@ -3,19 +3,29 @@
 
 #include "route/balance.h"
 
-/* Half of what was counted is forgotten in this time. */
+/* The shard rates decay to half their value in this time. */
 #define RATE_HALF_LIFE_MS 2000.0
+/* Time constant of the moving average of the utilization. */
 #define UTILIZATION_TAU_MS 1500.0
-/* Below that a server answers as fast as an idle one. */
+/* A less utilized owner moves nothing: it answers as fast as an idle one. */
 #define MIN_UTILIZATION 0.6
-/* Less of a difference is noise, and would only move back again. */
+/* A smaller difference is noise; shards moved for it would soon move back. */
 #define MIN_UTILIZATION_GAP 0.25
-/* A server deep in its queue is not twice as far from even as a full one. */
+/*
+ * Higher utilizations count as this one: a server with a long queue does not
+ * have to move more shards than one whose slots are just full.
+ */
 #define MAX_UTILIZATION 2.0
-/* At once; more would leave the taker with a storm of cold keys. */
+/*
+ * Limits of one move, in shards and as a share of the owner's requests. A
+ * larger move would send the receiver requests for many cold keys at once.
+ */
 #define MAX_SHARDS_PER_MOVE 96
 #define MAX_MOVED_SHARE 0.4
-/* Too cool to matter to the load, and each move costs its keys a second. */
+/*
+ * Shards with a smaller share of the owner's requests do not move: they hardly
+ * change the load, while their keys are not served for a second.
+ */
 #define MIN_SHARD_SHARE 0.002
 
 void balance_init(struct balance *b)
@@ -40,7 +50,10 @@
 
 void balance_count_request(struct balance *b, uint32_t shard)
 {
-	/* In the long run the sum is the rate: each fades to half in time. */
+	/*
+	 * With this increment the decayed sum approaches the rate of requests
+	 * per second.
+	 */
 	if (shard < b->n_shards)
 		b->shard_rates[shard] += G_LN2 * 1000 / RATE_HALF_LIFE_MS;
 }
@@ -127,7 +140,10 @@
 	    b->utilization - o->utilization < MIN_UTILIZATION_GAP)
 		return false;
 	list = list_movable_shards(b, may_move, user, &total);
-	/* What makes both equally full, were they equally fast. */
+	/*
+	 * Rate that would have to move to make the utilizations equal, if both
+	 * servers were equally fast.
+	 */
 	remaining = total * MIN((b->utilization - o->utilization) /
 					(2 * b->utilization),
 				MAX_MOVED_SHARE);
--- a/route/balance.h
+++ b/route/balance.h
@@ -6,28 +6,29 @@
 #include <glib.h>
 
 /*
- * When the owner of ranges of keys should give some of them away, to whom and
- * which. Servers differ in speed, some keys are far busier than others and
- * which ones changes within minutes, so equal numbers of keys are unequal
- * loads. Each owner decides for its own ranges, by what it measures itself and
- * what the others' answers say of them; no node has to know all. Times are
- * passed in.
+ * Decides when an owner should move some of its shards to another owner, to
+ * which one, and which shards. Servers differ in speed, some keys are far
+ * busier than others, and the busy keys change within minutes, so an equal
+ * number of shards is not an equal load. Each owner decides about its own
+ * shards, from its own measurements and from the load that the other owners
+ * report in their answers; no node needs the load of the whole fleet. The
+ * caller passes in the time.
  *
- * A range that moves is not served for about a second, so only an owner that
- * is truly fuller than another gives, what it gives is little and hot, and then
- * it waits to see what came of it.
+ * A shard that moves is not served for about a second. An owner therefore moves
+ * shards only if its utilization is clearly higher than the other's, moves few
+ * but busy ones, and then waits until the effect of the move can be seen.
  */
 
 struct balance {
-	double *shard_rates; /* per shard, requests a second, fading */
+	double *shard_rates; /* per shard, requests per second, decayed */
 	uint32_t n_shards;
-	double utilization; /* of our slots, waiting requests included, smoothed
-			     */
-	int64_t decayed_at_ms;
-	int64_t next_move_at_ms; /* no giving before */
+	/* Moving average of load by limit; the load includes the queue. */
+	double utilization;
+	int64_t decayed_at_ms; /* last balance_update() */
+	int64_t next_move_at_ms; /* no shard is moved before this time */
 };
 
-/* Another owner of the service, by what its answers said. */
+/* Another owner of the service, as its answers reported it. */
 struct balance_candidate {
 	int64_t member;
 	double utilization;
@@ -35,18 +36,24 @@
 
 void balance_init(struct balance *b);
 void balance_finish(struct balance *b);
+/* Sets the number of shards; a changed number resets the shard rates. */
 void balance_resize(struct balance *b, uint32_t n_shards);
 
-/* A request for a shard was admitted. */
+/* Counts a request for a shard, to be called when the gate receives it. */
 void balance_count_request(struct balance *b, uint32_t shard);
 
-/* Let time pass; use is that of the moment. */
+/*
+ * Decays the shard rates and smooths the utilization; utilization is the
+ * current value, load by limit.
+ */
 void balance_update(struct balance *b, double utilization, int64_t now_ms);
 
 /*
- * Choose what to give. mine(user, shard) tells the shards that may move. On
- * true, *to and shards (uint32_t, appended) say what; the next time is not
- * before BALANCE_MIN_INTERVAL_MS from now.
+ * Chooses the shards to move and one of the other owners, an array of struct
+ * balance_candidate, to receive them. may_move(user, shard) tells whether a
+ * shard may move. Returns true if shards are to move: *target is then the
+ * receiving member, their numbers (uint32_t) are appended to shards, and every
+ * further call within BALANCE_MIN_INTERVAL_MS returns false.
  */
 #define BALANCE_MIN_INTERVAL_MS 3000
 bool balance_choose_shards(struct balance *b, const GArray *others,
--- a/route/budget.c
+++ b/route/budget.c
@@ -1,6 +1,5 @@
 #include "route/budget.h"
 
-/* Begin with a full reserve. */
 void retry_budget_init(struct retry_budget *b, double share, double reserve)
 {
 	b->share = share;
@@ -8,7 +7,6 @@
 	b->tokens = reserve;
 }
 
-/* Count a first attempt. */
 void retry_budget_deposit(struct retry_budget *b)
 {
 	b->tokens += b->share;
@@ -16,7 +14,6 @@
 		b->tokens = b->reserve;
 }
 
-/* Ask for one extra attempt. */
 bool retry_budget_withdraw(struct retry_budget *b)
 {
 	if (b->tokens < 1)
--- a/route/budget.h
+++ b/route/budget.h
@@ -4,18 +4,24 @@
 #include <stdbool.h>
 
 /*
- * A budget for extra attempts: each first attempt earns a share of one, up to
- * a reserve. It bounds what retries and hedges can add to the load, so that a
- * bad minute does not double it and keep itself going.
+ * Token bucket for retries and hedges. Each first attempt of a request deposits
+ * a fraction of a token, and each retry or hedge costs one token. This bounds
+ * the load that retries and hedges add, so that failures in an overload cannot
+ * double the load and thereby prolong the overload.
  */
 struct retry_budget {
 	double tokens;
-	double share;
-	double reserve;
+	double share; /* tokens deposited for each first attempt */
+	double reserve; /* most tokens held */
 };
 
+/* Starts with a full reserve. */
 void retry_budget_init(struct retry_budget *b, double share, double reserve);
+
+/* To be called for each first attempt. */
 void retry_budget_deposit(struct retry_budget *b);
+
+/* Takes a token for a retry or hedge; false if there is none. */
 bool retry_budget_withdraw(struct retry_budget *b);
 
 #endif
