--- a/route/choose.c
+++ b/route/choose.c
@@ -3,31 +3,43 @@
 
 #include "route/choose.h"
 
+/* Weights of a new value in the moving averages. */
 #define LATENCY_WEIGHT 0.2
 #define UTILIZATION_WEIGHT 0.2
 #define DEFAULT_LIMIT 4.0
-#define TWO_CHOICES_LOAD_MAX_AGE_MS 200
 #define SUSPECT_MS 300
 #define NOT_SERVING_AVOID_MS 500
+
+/* Of the policy "two". */
+
+/* An older load report is not used. */
+#define TWO_CHOICES_LOAD_MAX_AGE_MS 200
+/* A gate stalls when no attempt has ended for this many average latencies. */
 #define STALL_FACTOR 4
 #define STALL_MIN_MS 20
 #define LOCAL_COST_FACTOR 0.8
-/* What a gate said of its load is no use after this long. */
+
+/* Of the policy "soonest". */
+
+/* An older load report is not used. */
 #define SOONEST_LOAD_MAX_AGE_MS 1000
-/* A gate that refused, or was silent, is asked only if all others are worse. */
+/*
+ * Added to the expected time of a gate that refused or that is suspect, so that
+ * it is used only if all others are worse.
+ */
 #define AVOID_COST_MS 300.0
 #define SUSPECT_COST_MS 2000.0
 /*
- * A gate never heard of is likely one just started: taken for quick it would
- * get everything at once.
+ * Assumed latency of a gate that has not answered yet. It has probably just
+ * started, and if it were taken for fast it would get all requests at once.
  */
 #define UNKNOWN_LATENCY_MS 150.0
-/* Twice as soon gets eight times as many. */
+/* A gate that answers in half the time gets eight times as many requests. */
 #define WEIGHT_EXPONENT 3.0
+/* See expected_ms(). */
 #define UNCONTENDED_SHARE 0.5
 #define CONTENTION_FACTOR 2.0
 
-/* Start knowing no gate; seed makes the choices repeatable. */
 void chooser_init(struct chooser *c, const struct chooser_ops *ops,
 		  uint32_t seed)
 {
@@ -38,14 +50,12 @@
 	c->rand = g_rand_new_with_seed(seed);
 }
 
-/* Release everything. */
 void chooser_finish(struct chooser *c)
 {
 	g_hash_table_unref(c->views);
 	g_rand_free(c->rand);
 }
 
-/* What is known of a gate, made anew when nothing is. */
 struct gate_view *chooser_gate_view(struct chooser *c, int64_t member)
 {
 	struct gate_view *v = g_hash_table_lookup(c->views, &member);
@@ -59,7 +69,6 @@
 	return v;
 }
 
-/* Forget a member that is gone. */
 void chooser_remove_gate(struct chooser *c, int64_t member)
 {
 	g_hash_table_remove(c->views, &member);
@@ -74,6 +83,7 @@
 	v->outstanding++;
 }
 
+/* An attempt at the gate has ended, answered or not. */
 static void record_end(struct gate_view *v, int64_t now_ms)
 {
 	if (v->outstanding)
@@ -128,20 +138,22 @@
 	v->avoid_until_ms = MAX(v->avoid_until_ms, v->suspect_until_ms);
 }
 
-/* Work expected ahead of a new request at the gate, per slot it has. */
+/*
+ * Cost of sending a request to the gate, for comparison with another gate: the
+ * work ahead of it at the gate by the gate's limit, and penalties.
+ */
 static double relative_cost(struct gate_view *v, int64_t local, int64_t now_ms)
 {
 	double load = v->outstanding;
 	double c;
 
-	/* What the gate said counts for as long as it is fresh. */
 	if (now_ms - v->last_answer_at_ms < TWO_CHOICES_LOAD_MAX_AGE_MS)
 		load = MAX(load, v->load);
 	c = (load + 1) / v->limit * MAX(v->latency_ms, 1.0);
 	/*
-	 * A gate whose backend server stalls says nothing at all: its last
-	 * word still sounds well. The age of what is outstanding there shows
-	 * the stall before any late answer or load report does.
+	 * A gate whose backend server stalls sends no answers, so its last load
+	 * report still looks good. The time since any attempt there ended shows
+	 * the stall earlier than a late answer or a new load report would.
 	 */
 	if (v->no_progress_since_ms &&
 	    now_ms - v->no_progress_since_ms >
@@ -161,8 +173,8 @@
 	uint32_t i;
 
 	/*
-	 * Two drawn at random, the better taken: the least loaded of all
-	 * would draw every entry to the same gate at once.
+	 * Draw two gates at random and take the better. If every entry took
+	 * the least loaded gate of all, all would send to the same one at once.
 	 */
 	for (i = 0; i < n; i++) {
 		int64_t id = options[i].member;
@@ -202,9 +214,10 @@
 }
 
 /*
- * When a gate would be done with one more request, by what it last said. Up to
- * half of what it works on at once none is in another's way; a server nearly
- * full slows down, and beyond that each request waits for those before it.
+ * Expected time until a gate answers one more request, by its last load report.
+ * Up to half of its limit, requests do not slow each other down; closer to the
+ * limit the backend server becomes slower, and beyond it each request waits for
+ * those queued before it.
  */
 static double expected_ms(struct gate_view *v, int64_t now_ms)
 {
@@ -223,10 +236,10 @@
 }
 
 /*
- * The gates that would answer soonest get the most, by a power of the time that
- * each would take. What is known of a gate is as old as the last answer from
- * there, so the very soonest by each entry's knowledge would get the requests
- * of all of them at once, and be the slowest next.
+ * Draws a gate at random, weighted by a power of the inverse of its expected
+ * time. The load of a gate is only known as of its last answer: if each entry
+ * chose the gate with the least expected time, all entries would choose the
+ * same one at once and make it the slowest.
  */
 static int64_t pick_soonest(struct chooser *c,
 			    const struct gate_option *options, uint32_t n,
@@ -248,7 +261,10 @@
 		     options[i].extra_ms;
 		weight = pow(1 / ms, WEIGHT_EXPONENT);
 		total += weight;
-		/* Each takes the place of those before with its share. */
+		/*
+		 * Reservoir sampling: this gate replaces the one chosen so far
+		 * with the probability of its share of the total weight.
+		 */
 		if (g_rand_double(c->rand) * total < weight)
 			chosen = options[i].member;
 	}
--- a/route/choose.h
+++ b/route/choose.h
@@ -6,36 +6,44 @@
 #include <glib.h>
 
 /*
- * What an entry knows of each gate, from the gates' own answers and from what
- * it has outstanding there, and the choice between two of them.
+ * Chooses the gate for a request, from what the entry knows of each gate: the
+ * load that the gate reported in its answers, its latency, and the requests of
+ * this entry that it has not answered yet.
  */
 
 struct gate_view {
 	int64_t member;
-	uint32_t outstanding; /* requests of ours without an answer */
-	double load; /* in flight and queued, as the gate last said */
-	double limit; /* as the gate last said */
-	double latency_ms; /* smoothed */
-	double utilization; /* load by limit, smoothed over its answers */
-	int64_t last_answer_at_ms;
-	int64_t avoid_until_ms; /* it said so, or was silent */
-	int64_t suspect_until_ms; /* it was silent, and may be lost */
-	int64_t no_progress_since_ms; /* oldest without an answer, 0 none */
-	bool stop_announced; /* it said so, and takes nothing any more */
+	uint32_t outstanding; /* requests of this entry without an answer */
+	double load; /* in flight and queued, by the gate's last answer */
+	double limit; /* of requests in flight, by its last answer */
+	double latency_ms; /* moving average, nominal scale; 0: unknown */
+	double utilization; /* moving average of load by limit */
+	int64_t last_answer_at_ms; /* refusals included; 0: none yet */
+	int64_t avoid_until_ms; /* after a refusal, or while suspect */
+	int64_t suspect_until_ms; /* it did not answer, or does not serve */
+	/* Requests are outstanding and none ended since; 0: none outstanding. */
+	int64_t no_progress_since_ms;
+	bool stop_announced; /* it takes no more requests */
 };
 
 struct chooser;
 
-/* A gate that could take a request. */
+/* A gate that can serve a request. */
 struct gate_option {
 	int64_t member;
-	/* What reaching it costs beyond its own work, as milliseconds. */
+	/*
+	 * Cost of sending the request there, in milliseconds of the nominal
+	 * scale (route/cost.h); "soonest" adds it to the expected time.
+	 */
 	double extra_ms;
 };
 
-/* How a gate is chosen; by turns is there to measure the other against. */
+/*
+ * A policy that chooses gates. Round robin is only a baseline to compare the
+ * other policies with.
+ */
 struct chooser_ops {
-	const char *name;
+	const char *name; /* in settings and experiments */
 	int64_t (*pick)(struct chooser *c, const struct gate_option *options,
 			uint32_t n, int64_t local, int64_t excluded,
 			int64_t now_ms);
@@ -45,7 +53,7 @@
 extern const struct chooser_ops chooser_round_robin;
 extern const struct chooser_ops chooser_soonest;
 
-/* The ops of a name, NULL when there are none. */
+/* Returns the policy of that name, or NULL. */
 const struct chooser_ops *chooser_ops_by_name(const char *name);
 
 struct chooser {
@@ -55,36 +63,49 @@
 	GRand *rand;
 };
 
+/* Starts without any gate; a seed gives the same choices on every run. */
 void chooser_init(struct chooser *c, const struct chooser_ops *ops,
 		  uint32_t seed);
 void chooser_finish(struct chooser *c);
+
+/* Returns the view of a gate, a new one if the gate is not known yet. */
 struct gate_view *chooser_gate_view(struct chooser *c, int64_t member);
+
+/* To be called for a member that the log has removed. */
 void chooser_remove_gate(struct chooser *c, int64_t member);
 
-/* A request went out to a gate. */
+/* A request was sent to a gate. */
 void chooser_sent(struct chooser *c, int64_t member, int64_t now_ms);
 
-/* Its answer came: how long it took, and what the gate says of itself. */
+/*
+ * The gate answered or refused a request, and reported its load and limit.
+ * latency_ms is 0 when the answer says nothing about latency.
+ */
 void chooser_answered(struct chooser *c, int64_t member, double latency_ms,
 		      double load, double limit, int64_t now_ms);
 
-/* It was given up or cancelled, with no word from the gate. */
+/*
+ * An attempt was given up or cancelled before the gate answered it. suspect:
+ * the gate may be lost and is avoided for a while.
+ */
 void chooser_unanswered(struct chooser *c, int64_t member, bool suspect,
 			int64_t now_ms);
 
-/* The gate refused for load or for draining: leave it alone for a moment. */
+/* The gate refused because of load or draining; avoid it for avoid_ms. */
 void chooser_refused(struct chooser *c, int64_t member, int64_t avoid_ms,
 		     int64_t now_ms);
 
 /*
- * The gate serves nobody: its node is stopping, or its server has left. Almost
- * idle as it is, it would otherwise look the best of all until the log says so.
+ * The gate serves no requests, as its node is stopping or its backend server
+ * has left. It is avoided for a while: almost idle, it would otherwise look
+ * like the best gate until the log removes it.
  */
 void chooser_not_serving(struct chooser *c, int64_t member, int64_t now_ms);
 
 /*
- * Choose among n gates, skipping `except`; home is preferred when it is no
- * worse. Returns 0 when there is none.
+ * Chooses one of n gates other than `excluded`. Some policies prefer `local`,
+ * the gate on this host, over one that is slightly better. Returns the gate's
+ * member, or 0 when there is no gate to choose.
  */
 int64_t chooser_pick(struct chooser *c, const struct gate_option *options,
 		     uint32_t n, int64_t local, int64_t excluded,
--- a/route/cost.c
+++ b/route/cost.c
@@ -2,13 +2,18 @@
 
 #include "route/cost.h"
 
+/* Weights of a new value in the moving averages. */
 #define LATENCY_WEIGHT 0.05
 #define SIZE_WEIGHT 0.1
 #define BYTES_PER_KB 1024.0
-/* Hedges share the budget of repeats. */
+/* Hedges are not sent earlier: they draw on the same budget as retries. */
 #define HEDGE_LATENCY_FACTOR 1.6
-/* Earlier there is time enough for the first answer to be in time. */
+/* Before this share of the target the first answer may still be in time. */
 #define HEDGE_TARGET_SHARE 0.5
+/*
+ * The delay until the successor is asked is at least the latency target plus
+ * the first and the average latency times the second.
+ */
 #define OWNER_HEDGE_MIN_MS 60
 #define OWNER_HEDGE_LATENCY_FACTOR 10
 
--- a/route/cost.h
+++ b/route/cost.h
@@ -5,48 +5,53 @@
 #include <stdint.h>
 
 /*
- * What requests of a class are like, and what follows for how long to wait for
- * one: when a second gate is worth asking beside the first, and how much
- * further away a gate may be. Without input, output or clock.
+ * Average latency and answer size of a class of requests, and what is derived
+ * from them: when to hedge a request at a second gate, and how much a gate in
+ * another data centre costs. No input or output, and no clock.
  */
 
-/* Smoothed over all gates. */
+/* Moving averages of a class over all gates. */
 struct class_cost {
-	double answer_bytes; /* of an answer */
-	double latency_ms; /* from sending to the answer's head, 0 unknown */
+	double answer_bytes;
+	double latency_ms; /* from sending to the answer's head; 0: unknown */
 };
 
 /*
- * Gates are compared by how slow they are for the class at hand, as if each
- * class took this long: a gate that happened to get the short requests of late
- * would look fast otherwise.
+ * Latencies are compared between gates on a nominal scale, on which the average
+ * latency of every class is NOMINAL_MS. Without it a gate that recently served
+ * mostly requests of a short class would look fast.
  */
 #define NOMINAL_MS 100.0
 
-/* An answer's head came after ms; an answer ended with bytes. */
+/* Adds the time from sending to the answer's head to the moving average. */
 void cost_update_latency(struct class_cost *c, double ms);
+
+/* Adds the size of a complete answer to the moving average. */
 void cost_update_bytes(struct class_cost *c, double bytes);
 
-/* A time of this class on the nominal scale, and one back from it. */
+/* Converts a latency of this class to the nominal scale, and back. */
 double cost_to_nominal_ms(const struct class_cost *c, double ms);
 double cost_from_nominal_ms(const struct class_cost *c, double nominal_ms);
 
 /*
- * What a gate in another data centre costs a request, on the nominal scale:
- * far_ms at all and far_ms_per_kb for each KiB of answer.
+ * Cost of sending a request of this class to another data centre, in
+ * milliseconds of the nominal scale: far_ms for each request and far_ms_per_kb
+ * for each KiB of the answer.
  */
 double cost_far_ms(const struct class_cost *c, double far_ms,
 		   double far_ms_per_kb);
 
 /*
- * Whether a request that has waited age_ms for a gate which usually takes
- * usual_ms should be asked of another beside it.
+ * Whether a request that was sent to a gate age_ms ago should be hedged, i.e.
+ * sent to a second gate as well. usual_ms is the gate's average latency for the
+ * class, target_ms the latency target of the class.
  */
 bool cost_hedge_due(double age_ms, double usual_ms, double target_ms);
 
 /*
- * How long to wait for the owner of a key before whoever would inherit the key
- * is asked beside it; left_ms is all the time the request has.
+ * How long to wait for the answer of a key's owner before the request is also
+ * sent to the owner's successor. left_ms is the time from the request's arrival
+ * to its deadline; the delay is at most half of it.
  */
 double cost_owner_hedge_delay_ms(double usual_ms, double target_ms,
 				 double left_ms);
