--- a/route/plan.c
+++ b/route/plan.c
@@ -3,29 +3,38 @@
 #include "route/plan.h"
 #include "util/result.h"
 
-/* Between rounds over the candidates for a key that is changing owners. */
+/* First and longest wait between rounds over all candidates. */
 #define ROUND_WAIT_MS 50
 #define ROUND_WAIT_MAX_MS 400
-/* When nothing is known of when there will be room or an owner. */
+/* Retry-After when no refusing gate asked for a wait. */
 #define DEFAULT_RETRY_MS 200
-/* A caller that returns later than this share of its time left has none. */
+/*
+ * Largest share of the time to the deadline that a caller is told to wait;
+ * after a longer wait too little time would be left for its retry.
+ */
 #define RETRY_SHARE 0.3
-/* Gates without a key that cannot be reached, tried in a row. */
+/*
+ * A request without a key waits each time that this many attempts could not be
+ * sent.
+ */
 #define UNSENT_PER_ROUND 4
 
-/* Where an event takes an attempt. */
+/* The state of an attempt after an event. */
 struct transition {
 	enum attempt_state to;
 	bool open;
 };
 
-/* Nothing more can become known of an attempt that is at its end. */
+/*
+ * Only for the states in which an attempt can be open; plan_attempt_event()
+ * ignores the events of a closed attempt.
+ */
 static const struct transition transitions[ATTEMPT_N_EVENTS][ATTEMPT_N_STATES] = {
 	[ATTEMPT_EVENT_SENT] = {
 		[ATTEMPT_NOT_SENT] = { ATTEMPT_SENT, true },
 		[ATTEMPT_SENT] = { ATTEMPT_SENT, true },
 	},
-	/* Too late for one that has left. */
+	/* An attempt that has been sent stays open. */
 	[ATTEMPT_EVENT_UNSENT] = {
 		[ATTEMPT_NOT_SENT] = { ATTEMPT_NOT_SENT, false },
 		[ATTEMPT_SENT] = { ATTEMPT_SENT, true },
@@ -101,8 +110,8 @@
 }
 
 /*
- * "Not run" is a promise, which a caller acts on by sending the request again:
- * it must not be given when any attempt may have run, or still may.
+ * A caller that receives "not run" sends the request again. The answer must
+ * therefore not be "not run" while any attempt may have run or may still run.
  */
 static bool may_have_run(const struct plan_attempt *a)
 {
@@ -190,14 +199,16 @@
 	return plan_n_servers_reached(p) + plan_n_open(p) < p->max_servers;
 }
 
+/* The step that gives the caller a final answer. */
 static enum plan_step final_step(const struct plan *p)
 {
 	return plan_outcome(p) == PLAN_NOT_RUN ? PLAN_REFUSE : PLAN_UNKNOWN;
 }
 
 /*
- * Wait before the next round of candidates, longer each time: all that wait for
- * one lost owner would otherwise beset its successor until it may serve.
+ * Waits before the next round of candidates, longer each time. Otherwise all
+ * requests that wait for one lost owner would be sent to its successor again
+ * and again until the successor may serve the key.
  */
 static enum plan_step wait_round(struct plan *p, double jitter, int64_t now_ms)
 {
@@ -244,14 +255,15 @@
 	if (p->tries >= PLAN_MAX_TRIES || now_ms >= p->deadline_ms ||
 	    !plan_may_reach_server(p))
 		return final_step(p);
-	/* A server that turned it away has been sent it: the next is a repeat. */
+	/* The server had received the request, so the next attempt is a retry. */
 	if (not_owner && p->keyed && server_refused &&
 	    !retry_budget_withdraw(b))
 		return final_step(p);
 	if (not_owner && p->keyed) {
 		/*
-		 * The key is changing owners. Asking the next candidate costs
-		 * no backend server anything; a full round without one waits.
+		 * The key is changing owners. An attempt at the next candidate
+		 * costs no backend server anything. After every second refusal,
+		 * a full round, the request waits.
 		 */
 		if (p->refusals % 2)
 			return PLAN_SEND;
@@ -259,13 +271,13 @@
 	}
 	if (p->keyed || p->refusals > PLAN_MAX_LOAD_REFUSALS)
 		return final_step(p);
-	/* A second server is a repeat; another gate alone is not. */
+	/* Only an attempt after one that reached a server is a retry. */
 	if (server_refused && !retry_budget_withdraw(b))
 		return final_step(p);
 	return PLAN_SEND;
 }
 
-/* No gate got it: the next may, and that is no repeat. */
+/* The attempt was not sent, so another attempt is not a retry. */
 static enum plan_step not_sent(struct plan *p, double jitter, int64_t now_ms)
 {
 	p->n_unsent++;
@@ -275,7 +287,7 @@
 	if (p->tries >= PLAN_MAX_TRIES || now_ms >= p->deadline_ms ||
 	    !plan_may_reach_server(p))
 		return final_step(p);
-	/* All of them out of reach is a moment to wait. */
+	/* Wait when all candidates of a round were unreachable. */
 	if (p->keyed ? p->refusals % 2 : p->n_unsent % UNSENT_PER_ROUND)
 		return PLAN_SEND;
 	return wait_round(p, jitter, now_ms);
@@ -303,7 +315,10 @@
 	int64_t wait = p->wait_ms ? p->wait_ms : DEFAULT_RETRY_MS;
 	int64_t most = (int64_t)((p->deadline_ms - now_ms) * RETRY_SHARE);
 
-	/* Callers refused together would bring the overload back together. */
+	/*
+	 * Callers that are refused at the same time must not retry at the same
+	 * time, which would bring the overload back.
+	 */
 	wait += (int64_t)(jitter * wait);
 	return MAX(MIN(wait, most), 1);
 }
--- a/route/plan.h
+++ b/route/plan.h
@@ -7,64 +7,69 @@
 #include "route/budget.h"
 
 /*
- * What to do next about one request: ask a gate, wait a moment, or give the
- * caller its final answer. A state machine without network or clock; the entry
- * tells it what happened and when.
+ * Decides the next step of one request: send it to a gate, wait, or give the
+ * caller a final answer. A state machine without network or clock; the entry
+ * passes in the events and their times.
  */
 
 enum plan_step {
-	PLAN_SEND, /* ask a gate now */
-	PLAN_WAIT, /* look again at resume_at_ms */
-	PLAN_PENDING, /* another attempt is still open: nothing to do */
-	PLAN_REFUSE, /* final: it did not run and never will */
-	PLAN_UNKNOWN, /* final: it may have run */
+	PLAN_SEND, /* send the request to a gate now */
+	PLAN_WAIT, /* call plan_resume() at resume_at_ms */
+	PLAN_PENDING, /* wait for another attempt that is still open */
+	PLAN_REFUSE, /* final: the request did not run and will not run */
+	PLAN_UNKNOWN, /* final: the request may have run */
 };
 
-/* What is known of one attempt at one gate. */
+/* What is known of one attempt, i.e. of sending the request to one gate. */
 enum attempt_state {
-	ATTEMPT_NOT_SENT, /* no byte of it has left this process */
-	ATTEMPT_SENT, /* it has left, and the gate has said nothing */
-	ATTEMPT_NOT_RUN, /* the gate's or the server's word: not run */
-	ATTEMPT_STARTED, /* the gate's word: a server has got it */
-	ATTEMPT_UNKNOWN, /* given up, and it may have run */
+	ATTEMPT_NOT_SENT, /* no byte of it has been sent */
+	ATTEMPT_SENT, /* sent, and nothing received from the gate */
+	ATTEMPT_NOT_RUN, /* the gate or the server reported: not run */
+	ATTEMPT_STARTED, /* the gate reported: handed to a server */
+	ATTEMPT_UNKNOWN, /* given up after sending; it may have run */
 	ATTEMPT_ANSWERED,
 	ATTEMPT_N_STATES,
 };
 
-/* What can happen to an attempt. */
 enum attempt_event {
-	/* The link took it. */
+	/* The link to the gate has taken the request. */
 	ATTEMPT_EVENT_SENT,
-	/* The link was down or its queue full, or it was taken back in time. */
+	/*
+	 * It was not sent: the link was down, its queue was full, or the
+	 * attempt was cancelled before.
+	 */
 	ATTEMPT_EVENT_UNSENT,
 	/*
-	 * The gate's word that it has not begun it and will not: it refuses it,
-	 * or stops, or has taken it back as it was asked to.
+	 * The gate reports that it has not started the request and will not: it
+	 * refuses it, is stopping, or has cancelled it at this entry's request.
 	 */
 	ATTEMPT_EVENT_REFUSED,
-	/* The server's word that it turned it away. */
+	/* The backend server reports that it refused the request. */
 	ATTEMPT_EVENT_SERVER_REFUSED,
-	/* The gate's word that a server has it and no whole answer will come. */
+	/*
+	 * The gate reports that the request was handed to the backend server
+	 * and that no complete answer will follow.
+	 */
 	ATTEMPT_EVENT_CUT,
-	/* The same, as the server was still at work when its time was up. */
+	/* The same, as the server had not finished at the request's deadline. */
 	ATTEMPT_EVENT_SERVER_LATE,
-	/* The gate cannot tell what an earlier sending of its id has done. */
+	/* The gate cannot tell whether an earlier request of this id has run. */
 	ATTEMPT_EVENT_IN_DOUBT,
-	/* An answer that is not whole, or not its own. */
+	/* The answer is incomplete or belongs to another request. */
 	ATTEMPT_EVENT_MIXED,
-	/* The gate's lease is over; it may yet end what it has begun. */
+	/* The gate's lease is over; it may still finish started requests. */
 	ATTEMPT_EVENT_LEASE_OVER,
-	/* By the log the gate's process is gone. */
+	/* The log has removed the gate's member: its process is gone. */
 	ATTEMPT_EVENT_SUPERSEDED,
-	/* No word within the caller's time. */
+	/* Nothing was received from the gate by the caller's deadline. */
 	ATTEMPT_EVENT_TIMEOUT,
-	/* This process ends. */
+	/* This process is stopping. */
 	ATTEMPT_EVENT_STOPPING,
 	ATTEMPT_EVENT_ANSWERED,
 	ATTEMPT_N_EVENTS,
 };
 
-/* Why "not run" cannot be said. */
+/* Why the final answer cannot be "not run". */
 #define PLAN_CAUSE_LIST(X)                                               \
 	X(no_word, "sent, and no word from the gate in time")            \
 	X(lease_over, "sent, and the gate's lease ended without a word") \
@@ -82,24 +87,27 @@
 	PLAN_N_CAUSES
 };
 
-/* What the caller is to be told, by what is known of all attempts. */
+/* The final answer to the caller, from the states of all attempts. */
 enum plan_outcome {
 	PLAN_NOT_RUN,
 	PLAN_MAY_HAVE_RUN,
 	PLAN_ANSWERED,
 };
 
-/* Most gates that one request is offered to; each costs a message both ways. */
+/* Most gates that one request is sent to; each costs a message each way. */
 #define PLAN_MAX_TRIES 24
-/* Gates without a key tried after one refused for load. */
+/*
+ * A request without a key is given up after more refusals for load than this;
+ * until then each refusal is followed by an attempt at another gate.
+ */
 #define PLAN_MAX_LOAD_REFUSALS 2
 
 struct plan_attempt {
 	enum attempt_state state;
-	enum attempt_event last_event; /* that moved it */
-	bool open; /* more may become known of it */
-	bool server_refused; /* by a server that had got it */
-	bool lease_over; /* its gate's, while it was open */
+	enum attempt_event last_event; /* that changed its state */
+	bool open; /* later events can still change its state */
+	bool server_refused; /* the backend server received and refused it */
+	bool lease_over; /* the gate's lease ended while it was open */
 };
 
 struct plan {
@@ -108,68 +116,75 @@
 	int64_t received_at_ms;
 	int64_t deadline_ms;
 	/*
-	 * Until then it may be held while nobody is there to take it. Holding
-	 * it longer in the hope of an owner keeps the caller from a refusal
-	 * that would let it come back when there is one.
+	 * Until then the request may wait while no gate can serve it. Beyond
+	 * that a refusal is better for the caller: it can send the request
+	 * again when the key has an owner.
 	 */
 	int64_t hold_until_ms;
-	uint32_t max_servers; /* most backend servers it may reach */
-	uint32_t tries; /* gates asked */
+	uint32_t max_servers; /* most backend servers that it may reach */
+	uint32_t tries; /* attempts so far */
 	struct plan_attempt attempts[PLAN_MAX_TRIES];
-	uint32_t rounds; /* of all candidates, without one that serves */
+	uint32_t rounds; /* waits so far, each after trying all candidates */
 	uint32_t refusals;
-	uint32_t n_unsent; /* attempts that no gate could get */
+	uint32_t n_unsent; /* attempts that could not be sent */
 	int64_t wait_ms; /* longest wait that a refusing gate asked for */
-	int64_t resume_at_ms; /* after PLAN_WAIT */
+	int64_t resume_at_ms; /* after PLAN_WAIT: when to go on */
 };
 
-/* A new attempt, not sent yet: its number, or RESULT_OVERLOAD. */
+/*
+ * Adds an attempt, not sent yet. Returns its number, or RESULT_OVERLOAD after
+ * PLAN_MAX_TRIES attempts.
+ */
 int plan_add_attempt(struct plan *p);
 
-/* Something happened to an attempt, and nothing is to be decided. */
+/* Records an event of an attempt that needs no decision. */
 void plan_attempt_event(struct plan *p, uint32_t attempt, enum attempt_event e);
 
-/* What the attempts so far allow to be said. */
+/* The answer that the states of the attempts allow. */
 enum plan_outcome plan_outcome(const struct plan *p);
 
-/* The attempt for which "not run" may not be said, NULL when it may. */
+/* The first attempt that may have run, NULL when none may. */
 const struct plan_attempt *plan_in_doubt(const struct plan *p);
 
-/* Of an attempt for which "not run" may not be said. */
+/* Why an attempt returned by plan_in_doubt() may have run. */
 enum plan_cause plan_cause(const struct plan_attempt *a);
 const char *plan_cause_text(enum plan_cause c);
 
-/* Attempts of which more may become known. */
+/* Number of attempts that are open. */
 uint32_t plan_n_open(const struct plan *p);
 
-/* Backend servers that it reached, or may have. */
+/* Number of closed attempts that reached a backend server, or may have. */
 uint32_t plan_n_servers_reached(const struct plan *p);
 
-/* Nobody is known who could take it. jitter: from 0 to 1, drawn anew. */
+/*
+ * No gate is known that could serve the request. jitter here and below is a
+ * random number in [0, 1), a new one for each call.
+ */
 enum plan_step plan_no_candidate(struct plan *p, double jitter, int64_t now_ms);
 
 /*
- * A gate refused: for load, or because it does not serve the key (not_owner).
- * reached: the backend server had got it and turned it away.
+ * A gate refused an attempt: because of load, or because it does not serve the
+ * key (not_owner). server_refused: the backend server received the request and
+ * refused it. wait_ms is how long the gate asked to wait before a retry.
  */
 enum plan_step plan_refused(struct plan *p, uint32_t attempt, bool not_owner,
 			    bool server_refused, int64_t wait_ms,
 			    struct retry_budget *b, double jitter,
 			    int64_t now_ms);
 
-/* An attempt ended otherwise, or was given up. */
+/* An attempt ended by another event than a refusal. */
 enum plan_step plan_attempt_ended(struct plan *p, uint32_t attempt,
 				  enum attempt_event why,
 				  struct retry_budget *b, double jitter,
 				  int64_t now_ms);
 
-/* It waited until resume_at_ms. */
+/* The time resume_at_ms has come. */
 enum plan_step plan_resume(struct plan *p, int64_t now_ms);
 
-/* Whether one more backend server may be reached beside those so far. */
+/* Whether one more attempt may reach a backend server. */
 bool plan_may_reach_server(const struct plan *p);
 
-/* When a refused caller should come back, milliseconds from now. */
+/* Milliseconds after which a refused caller should send the request again. */
 int64_t plan_retry_after_ms(const struct plan *p, double jitter,
 			    int64_t now_ms);
 
