--- a/model/entry.c
+++ b/model/entry.c
@@ -3,8 +3,8 @@
 #include "model/internal.h"
 
 /*
- * Entries and callers: drives the plan, the choice and the hedges of
- * route/ as node/entry.c does, without sockets.
+ * Model of entries and callers: runs the plan, the choice of gates and the
+ * hedges of route/ as node/entry.c does, without sockets.
  */
 
 #define AVOID_MS 50
@@ -99,7 +99,10 @@
 	entry_start_request(m, r);
 }
 
-/* The caller is told that it did not run, and comes back if it still can. */
+/*
+ * Refuses the request. The caller sends it again if it has retries left and if
+ * the wait would end before the deadline.
+ */
 static void refuse_request(struct model *m, struct request *r)
 {
 	int64_t wait_ms = plan_retry_after_ms(&r->plan, g_rand_double(m->rand),
@@ -115,6 +118,7 @@
 	model_schedule(m, m->now_us + wait_ms * US_PER_MS, retry_request, r);
 }
 
+/* Returns the member of the gate to send to next, 0 if there is none. */
 static int64_t pick_gate(struct model *m, struct request *r)
 {
 	const struct model_class *k = class_of(r);
@@ -264,6 +268,7 @@
 			r->jobs[i] = NULL;
 }
 
+/* Takes in what an answer, or with ms 0 a refusal, tells of the gate. */
 static void record_answer(struct model *m, struct job *j, double ms)
 {
 	struct request *r = j->request;
--- a/model/run.c
+++ b/model/run.c
@@ -3,7 +3,10 @@
 
 #include "model/internal.h"
 
-/* Virtual time: the events of a run, and callers who send at random. */
+/*
+ * The event loop in virtual time, and callers whose requests arrive at random
+ * times (a Poisson process).
+ */
 
 static bool event_before(const struct event *a, const struct event *b)
 {
@@ -60,7 +63,7 @@
 	}
 }
 
-/* Normally distributed, by Box and Muller. */
+/* By the Box-Muller transform. */
 double model_random_normal(struct model *m)
 {
 	double u = 1 - g_rand_double(m->rand);
@@ -96,6 +99,7 @@
 	return k->per_s * wave * model_fault_factor(m, MODEL_FAULT_BURST, NULL);
 }
 
+/* A caller's request arrives at a random entry; schedules the next one. */
 static void caller_request_arrived(struct model *m, void *subject)
 {
 	const struct model_class *k = subject;
--- a/model/server.c
+++ b/model/server.c
@@ -3,10 +3,14 @@
 #include "model/internal.h"
 #include "util/result.h"
 
-/* Gates, by gate/admission.h, and the backend servers beside them. */
+/* Model of gates, which run gate/admission.h, and of their backend servers. */
 
+/*
+ * A job is refused rather than started later than this before its deadline, so
+ * that the refusal still reaches the caller in time.
+ */
 #define REFUSAL_MARGIN_MS 40
-/* Fuller than this a server takes longer for each request. */
+/* With more than this share of the slots in use, work takes longer. */
 #define CROWDING_THRESHOLD 0.9
 
 static int64_t link_delay_us(const struct job *j)
@@ -16,7 +20,10 @@
 		       : (int64_t)(j->model->e->link_ms * US_PER_MS);
 }
 
-/* When an answer that ends now is at its entry, behind those before it. */
+/*
+ * When an answer that is complete now arrives at its entry: the host's link
+ * sends its answers one after the other.
+ */
 static int64_t answer_at_us(struct job *j)
 {
 	struct host *h = j->gate;
@@ -37,7 +44,7 @@
 	j->reserved_bytes = 0;
 }
 
-/* A refusal on its way back to the entry. */
+/* A refusal in flight to the entry. */
 struct refusal {
 	struct job *job;
 	int64_t wait_ms;
@@ -106,7 +113,7 @@
 	start_queued(m, j->gate);
 }
 
-/* Halfway through its work a job asks for what it needs. */
+/* A running job makes its call halfway through its work. */
 static void send_call(struct model *m, void *subject)
 {
 	struct job *j = subject;
