--- a/model/experiment.c
+++ b/model/experiment.c
@@ -4,7 +4,7 @@
 #include "settings/json-check.h"
 #include "util/result.h"
 
-/* Reading experiments: JSON, every problem told with its path. */
+/* Reads experiment files (JSON) and reports every problem with its path. */
 
 static const char *const top_fields[] = {
 	"seconds",     "link_ms",	"swing",    "period_s",
@@ -66,7 +66,9 @@
 	uint32_t i = find_service(e, name);
 
 	if (i == MODEL_NONE)
-		json_check_fail(c, path, "names no service of the experiment");
+		json_check_fail(
+			c, path,
+			"service is not one of the experiment's services");
 	return i == MODEL_NONE ? 0 : i;
 }
 
@@ -111,12 +113,14 @@
 					  0.3 * k->worth, 0, 1e6);
 	k->answer_bytes =
 		json_check_number(c, o, path, "answer_bytes", 0, 0, 1e9);
-	/* Only a class read before can be called, so that none calls itself. */
+	/* Only a class listed before may be called, which rules out cycles. */
 	calls = json_check_string(c, o, path, "calls", "", NAME_MAX_LEN);
 	e->n_classes = i;
 	k->calls = calls[0] ? find_class(e, calls) : MODEL_NONE;
 	if (calls[0] && k->calls == MODEL_NONE)
-		json_check_fail(c, path, "calls no class listed before it");
+		json_check_fail(
+			c, path,
+			"calls must name a class listed before this one");
 }
 
 static void read_fault(struct json_check *c, const json_t *o, const char *path,
@@ -156,7 +160,7 @@
 		json_check_string(c, o, path, "limit", "fixed", 15));
 	p->hedge = json_check_bool(c, o, path, "hedge", true);
 	if (!p->choice || !p->limit)
-		json_check_fail(c, path, "names no choice or limit there is");
+		json_check_fail(c, path, "unknown choice or limit");
 }
 
 static uint32_t read_list(struct json_check *c, const json_t *o,
@@ -194,7 +198,7 @@
 		const json_t *v = json_array_get(list, i);
 
 		if (!json_is_integer(v))
-			json_check_fail(c, "$.seeds", "must be whole numbers");
+			json_check_fail(c, "$.seeds", "must be integers");
 		e->seeds[i] = json_integer_value(v);
 	}
 	if (!e->n_seeds)
