--- a/model/experiment.c
+++ b/model/experiment.c
@@ -228,15 +228,15 @@
 
 int experiment_read(struct experiment *e, const char *path, GString *errors)
 {
-	json_error_t why;
-	json_t *o = json_load_file(path, JSON_REJECT_DUPLICATES, &why);
+	json_error_t error;
+	json_t *o = json_load_file(path, JSON_REJECT_DUPLICATES, &error);
 	struct json_check c;
 	uint32_t n;
 
 	memset(e, 0, sizeof(*e));
 	if (!o) {
 		g_string_append_printf(errors, "%s: line %d: %s\n", path,
-				       why.line, why.text);
+				       error.line, error.text);
 		return RESULT_IO;
 	}
 	json_check_init(&c, path);
--- a/model/run.c
+++ b/model/run.c
@@ -225,7 +225,7 @@
 double model_earned(const struct experiment *e, const struct model_result *r)
 {
 	double earned = 0;
-	double owed = 0;
+	double max_worth = 0;
 	uint32_t i;
 
 	for (i = 0; i < e->n_classes; i++) {
@@ -233,9 +233,9 @@
 		const struct model_class_result *t = &r->classes[i];
 
 		earned += t->in_target * k->worth + t->late * k->late_worth;
-		owed += t->asked * k->worth;
+		max_worth += t->asked * k->worth;
 	}
-	return owed > 0 ? earned / owed : 0;
+	return max_worth > 0 ? earned / max_worth : 0;
 }
 
 double model_served(const struct experiment *e, const struct model_result *r)
