--- a/route/balance.c
+++ b/route/balance.c
@@ -12,8 +12,8 @@
 /* A smaller difference is noise; shards moved for it would soon move back. */
 #define MIN_UTILIZATION_GAP 0.25
 /*
- * Higher utilizations count as this one: a server with a long queue does not
- * have to move more shards than one whose slots are just full.
+ * Higher utilizations count as this one: twice as long a queue does not mean
+ * that twice as much load has to move.
  */
 #define MAX_UTILIZATION 2.0
 /*
@@ -141,8 +141,9 @@
 		return false;
 	list = list_movable_shards(b, may_move, user, &total);
 	/*
-	 * Rate that would have to move to make the utilizations equal, if both
-	 * servers were equally fast.
+	 * Requests per second that may still move. At first this is the rate
+	 * that would make the utilizations equal if both servers were equally
+	 * fast.
 	 */
 	remaining = total * MIN((b->utilization - o->utilization) /
 					(2 * b->utilization),
--- a/route/balance.h
+++ b/route/balance.h
@@ -22,7 +22,7 @@
 struct balance {
 	double *shard_rates; /* per shard, requests per second, decayed */
 	uint32_t n_shards;
-	/* Moving average of load by limit; the load includes the queue. */
+	/* Moving average of load divided by limit; queued requests included. */
 	double utilization;
 	int64_t decayed_at_ms; /* last balance_update() */
 	int64_t next_move_at_ms; /* no shard is moved before this time */
@@ -44,7 +44,7 @@
 
 /*
  * Decays the shard rates and smooths the utilization; utilization is the
- * current value, load by limit.
+ * current value, load divided by limit.
  */
 void balance_update(struct balance *b, double utilization, int64_t now_ms);
 
@@ -52,8 +52,8 @@
  * Chooses the shards to move and one of the other owners, an array of struct
  * balance_candidate, to receive them. may_move(user, shard) tells whether a
  * shard may move. Returns true if shards are to move: *target is then the
- * receiving member, their numbers (uint32_t) are appended to shards, and every
- * further call within BALANCE_MIN_INTERVAL_MS returns false.
+ * receiving member, the shards' numbers (uint32_t) are appended to shards, and
+ * every further call within BALANCE_MIN_INTERVAL_MS returns false.
  */
 #define BALANCE_MIN_INTERVAL_MS 3000
 bool balance_choose_shards(struct balance *b, const GArray *others,
--- a/route/choose.c
+++ b/route/choose.c
@@ -12,20 +12,23 @@
 
 /* Of the policy "two". */
 
-/* An older load report is not used. */
+/* Load reports older than this are not used. */
 #define TWO_CHOICES_LOAD_MAX_AGE_MS 200
-/* A gate stalls when no attempt has ended for this many average latencies. */
+/*
+ * A gate is taken for stalled when none of its outstanding requests has ended
+ * for this many average latencies, and for at least STALL_MIN_MS.
+ */
 #define STALL_FACTOR 4
 #define STALL_MIN_MS 20
 #define LOCAL_COST_FACTOR 0.8
 
 /* Of the policy "soonest". */
 
-/* An older load report is not used. */
+/* Load reports older than this are not used. */
 #define SOONEST_LOAD_MAX_AGE_MS 1000
 /*
  * Added to the expected time of a gate that refused or that is suspect, so that
- * it is used only if all others are worse.
+ * it is rarely chosen unless all others are worse.
  */
 #define AVOID_COST_MS 300.0
 #define SUSPECT_COST_MS 2000.0
@@ -139,8 +142,8 @@
 }
 
 /*
- * Cost of sending a request to the gate, for comparison with another gate: the
- * work ahead of it at the gate by the gate's limit, and penalties.
+ * Cost of sending a request to the gate, for comparison with another gate: load
+ * divided by limit, times the average latency, and penalties.
  */
 static double relative_cost(struct gate_view *v, int64_t local, int64_t now_ms)
 {
--- a/route/choose.h
+++ b/route/choose.h
@@ -17,10 +17,10 @@
 	double load; /* in flight and queued, by the gate's last answer */
 	double limit; /* of requests in flight, by its last answer */
 	double latency_ms; /* moving average, nominal scale; 0: unknown */
-	double utilization; /* moving average of load by limit */
+	double utilization; /* moving average of load divided by limit */
 	int64_t last_answer_at_ms; /* refusals included; 0: none yet */
 	int64_t avoid_until_ms; /* after a refusal, or while suspect */
-	int64_t suspect_until_ms; /* it did not answer, or does not serve */
+	int64_t suspect_until_ms; /* it did not answer, or serves no requests */
 	/* Requests are outstanding and none ended since; 0: none outstanding. */
 	int64_t no_progress_since_ms;
 	bool stop_announced; /* it takes no more requests */
--- a/route/plan.h
+++ b/route/plan.h
@@ -98,7 +98,7 @@
 #define PLAN_MAX_TRIES 24
 /*
  * A request without a key is given up after more refusals for load than this;
- * until then each refusal is followed by an attempt at another gate.
+ * until then another gate is tried, within the other limits.
  */
 #define PLAN_MAX_LOAD_REFUSALS 2
 
