--- a/member/busy.c
+++ b/member/busy.c
@@ -10,8 +10,8 @@
 /* What operators add where backend servers do not check grants. */
 int64_t holds_guard_ms(const struct member_node *n)
 {
-	const struct service_settings *s =
-		configuration_service(&n->fleet.configuration, n->me.service);
+	const struct service_settings *s = configuration_service(
+		&n->fleet.configuration, n->join_info.service);
 
 	return s ? s->guard_ms : 0;
 }
@@ -26,8 +26,8 @@
 	int64_t wait = holds_guard_ms(n);
 
 	if (!strcmp(reason, FLEET_REASON_RESTARTED) &&
-	    rule_on(n, RULE_RESTART_WAITS))
-		wait += member_wait_ms(n);
+	    rule_enabled(n, RULE_RESTART_WAITS))
+		wait += member_lease_wait_ms(n);
 	return wait;
 }
 
@@ -35,7 +35,8 @@
 				  const struct fleet_event *ev)
 {
 	holds_resize(n);
-	if (strcmp(ev->service, n->me.service) || ev->shard >= n->n_holds)
+	if (strcmp(ev->service, n->join_info.service) ||
+	    ev->shard >= n->n_holds)
 		return NULL;
 	return &n->holds[ev->shard];
 }
@@ -60,7 +61,7 @@
 	if (ev->from && !fleet_member(&n->fleet, ev->from) && !handed_over)
 		expect_busy(n, h, ev->reason);
 	h->owner_before = ev->from;
-	if (ev->to != n->self || !n->self || h->state == HOLD_HELD)
+	if (ev->to != n->self_id || !n->self_id || h->state == HOLD_HELD)
 		return;
 	h->has_ids = !ev->from || handed_over;
 	if (!ev->from)
--- a/member/holds.c
+++ b/member/holds.c
@@ -17,7 +17,8 @@
 
 static bool is_gone(const struct member_node *n, int64_t id)
 {
-	return !id || !fleet_member(&n->fleet, id) || takeover_proved(n, id);
+	return !id || !fleet_member(&n->fleet, id) ||
+	       takeover_stop_proved(n, id);
 }
 
 /*
@@ -29,7 +30,7 @@
 {
 	const struct fleet_service *s = member_service(n);
 
-	return s && s->key_numbers && n->me.life[0];
+	return s && s->key_numbers && n->join_info.life[0];
 }
 
 /* Whether the log, or a proved stop of the owner, gives us the shard. */
@@ -38,27 +39,27 @@
 	const struct shard *sh = holds_shard(n, i);
 
 	*step = 0;
-	if (!n->self || n->resigning)
+	if (!n->self_id || n->resigning)
 		return false;
-	if (sh->owner == n->self)
+	if (sh->owner == n->self_id)
 		return true;
 	*step = 1;
-	return sh->successor == n->self && sh->owner &&
-	       takeover_proved(n, sh->owner);
+	return sh->successor == n->self_id && sh->owner &&
+	       takeover_stop_proved(n, sh->owner);
 }
 
 static bool witnesses_know(const struct member_node *n, int64_t offset)
 {
-	const struct member *m = fleet_member(&n->fleet, n->self);
+	const struct member *m = fleet_member(&n->fleet, n->self_id);
 
 	if (!m || !lease_valid(n))
 		return false;
-	if (!rule_on(n, RULE_WITNESSES_KNOW_MOVE))
+	if (!rule_enabled(n, RULE_WITNESSES_KNOW_MOVE))
 		return true;
 	if (m->old_witnesses.n &&
-	    !lease_witnesses_applied(n, &m->old_witnesses, offset))
+	    !lease_majority_applied(n, &m->old_witnesses, offset))
 		return false;
-	return lease_witnesses_applied(n, &m->witnesses, offset);
+	return lease_majority_applied(n, &m->witnesses, offset);
 }
 
 /* The owner and successor before one of a shard's unsettled moves. */
@@ -90,13 +91,13 @@
 
 	if (!p->from)
 		return true;
-	if (p->from == n->self) {
+	if (p->from == n->self_id) {
 		from = true;
 		successor = successor ||
 			    witnesses_know(n, holds_shard(n, i)->fence);
 	}
 	from = from || is_gone(n, p->from);
-	successor = successor || p->successor == n->self ||
+	successor = successor || p->successor == n->self_id ||
 		    is_gone(n, p->successor);
 	return from && successor;
 }
@@ -106,7 +107,7 @@
 {
 	struct predecessors p[MAX_PREDECESSORS];
 
-	if (!rule_on(n, RULE_RELEASE_BEFORE_HOLD))
+	if (!rule_enabled(n, RULE_RELEASE_BEFORE_HOLD))
 		return true;
 	predecessors_of(holds_shard(n, i), p);
 	return pair_clear(n, i, &p[0]) && pair_clear(n, i, &p[1]);
@@ -119,7 +120,7 @@
 
 	if (!sh->from)
 		return true;
-	if (sh->from == n->self)
+	if (sh->from == n->self_id)
 		return predecessors_clear(n, i);
 	return n->holds[i].state == HOLD_HELD;
 }
@@ -167,7 +168,7 @@
 	struct predecessors p[MAX_PREDECESSORS];
 	uint32_t k;
 
-	if (!rule_on(n, RULE_PAST_IS_WAITED_OUT))
+	if (!rule_enabled(n, RULE_WAIT_AFTER_START))
 		return true;
 	if (!holds_granted(n) || holds_guard_ms(n) ||
 	    n->fleet.log_witnessed_gone)
@@ -175,7 +176,7 @@
 	predecessors_of(holds_shard(n, i), p);
 	for (k = 0; k < MAX_PREDECESSORS; k++)
 		if (p[k].from && !fleet_member(&n->fleet, p[k].from) &&
-		    !ids_contain(n->own_before, p[k].from))
+		    !ids_contain(n->earlier_incarnations, p[k].from))
 			return false;
 	return true;
 }
@@ -192,9 +193,9 @@
 
 	if (h->served_fence == sh->fence * 2)
 		return;
-	if (!step && rule_on(n, RULE_WITNESSES_KNOW_FENCE) &&
+	if (!step && rule_enabled(n, RULE_WITNESSES_KNOW_FENCE) &&
 	    !witnesses_know(n, sh->fence)) {
-		lease_ask_now(n);
+		lease_request_soon(n);
 		return;
 	}
 	h->step = step;
@@ -224,7 +225,7 @@
 	h->step = step;
 	if (!predecessors_clear(n, i) || !lease_valid(n))
 		return;
-	if (n->now_ms < n->quiet_until_ms && !predecessors_answer(n, i))
+	if (n->now_ms < n->no_acquire_until_ms && !predecessors_answer(n, i))
 		return;
 	if (n->now_ms < h->busy_until_ms)
 		return;
@@ -241,8 +242,9 @@
 	 * HOLD_NONE, which would have us tell the next owner so.
 	 */
 	if (h->state == HOLD_WAITING) {
-		h->state = rule_on(n, RULE_REQUESTS_END_FIRST) ? HOLD_RELEASING
-							       : HOLD_NONE;
+		h->state = rule_enabled(n, RULE_REQUESTS_END_FIRST)
+				   ? HOLD_RELEASING
+				   : HOLD_NONE;
 	}
 	if (h->state == HOLD_HELD) {
 		/*
@@ -253,7 +255,7 @@
 		 */
 		if (!n->resigning && lease_valid(n) &&
 		    !witnesses_know(n, holds_shard(n, i)->fence)) {
-			lease_ask_now(n);
+			lease_request_soon(n);
 			return;
 		}
 		h->state = HOLD_RELEASING;
@@ -303,14 +305,14 @@
 
 	if (h->state != HOLD_WAITING && holds_cleared(n, i))
 		return;
-	if (sh->owner != n->self && h->state != HOLD_WAITING)
+	if (sh->owner != n->self_id && h->state != HOLD_WAITING)
 		return;
 	predecessors_of(sh, p);
 	for (k = 0; k < MAX_PREDECESSORS; k++) {
-		if (p[k].from != n->self && !(h->clear & p[k].from_bit) &&
+		if (p[k].from != n->self_id && !(h->clear & p[k].from_bit) &&
 		    !is_gone(n, p[k].from))
 			add_ask(asks, p[k].from, i);
-		if (p[k].from && p[k].successor != n->self &&
+		if (p[k].from && p[k].successor != n->self_id &&
 		    !(h->clear & p[k].successor_bit) &&
 		    !is_gone(n, p[k].successor))
 			add_ask(asks, p[k].successor, i);
@@ -332,7 +334,7 @@
 	while (g_hash_table_iter_next(&it, &to, &list)) {
 		struct member_msg msg;
 
-		member_msg_init(&msg, MSG_RELEASE_ASK);
+		member_msg_init(&msg, MSG_RELEASE_REQUEST);
 		msg.offset = n->fleet.applied;
 		msg.list = g_array_ref(list);
 		member_send(n, *(int64_t *)to, &msg);
@@ -413,7 +415,7 @@
 			g_array_append_val(one, s);
 			g_array_remove_index_fast(shards, i);
 		}
-		if (to && to != n->self)
+		if (to && to != n->self_id)
 			send_release(n, to, one);
 	}
 	g_array_unref(one);
@@ -433,7 +435,7 @@
 			const struct shard *sh = holds_shard(n, j);
 			int64_t s = j;
 
-			if (sh->owner == n->self && sh->successor == heir)
+			if (sh->owner == n->self_id && sh->successor == heir)
 				g_array_append_val(shards, s);
 		}
 		send_release(n, heir, shards);
@@ -444,7 +446,7 @@
 /* Resigning and idle: give every successor the ids seen on its shards. */
 void holds_hand_over(struct member_node *n)
 {
-	GArray *heirs = witness_successors(n, n->self);
+	GArray *heirs = member_successors(n, n->self_id);
 
 	if (!n->handed_over_ms)
 		n->handed_over_ms = n->now_ms;
@@ -473,7 +475,7 @@
 		return false;
 	if (n->now_ms - n->handed_over_ms >= HAND_OVER_MS)
 		return true;
-	heirs = witness_successors(n, n->self);
+	heirs = member_successors(n, n->self_id);
 	for (i = 0; i < heirs->len; i++)
 		all = all &&
 		      ids_contain(n->handed, g_array_index(heirs, int64_t, i));
@@ -497,7 +499,7 @@
 {
 	struct hold *h = &n->holds[i];
 
-	if (holds_shard(n, i)->owner != n->self || holds_cleared(n, i))
+	if (holds_shard(n, i)->owner != n->self_id || holds_cleared(n, i))
 		h->unsettled_since_ms = 0;
 	else if (!h->unsettled_since_ms)
 		h->unsettled_since_ms = n->now_ms;
@@ -508,7 +510,7 @@
 	struct unsettled out = { 0 };
 	uint32_t i;
 
-	for (i = 0; n->self && i < n->n_holds; i++) {
+	for (i = 0; n->self_id && i < n->n_holds; i++) {
 		int64_t since_ms = n->holds[i].unsettled_since_ms;
 
 		if (!since_ms)
@@ -547,7 +549,7 @@
 	note_unsettled(n);
 	if (n->releases->len)
 		tell_released(n);
-	if (n->self && n->now_ms >= n->next_ask_ms) {
+	if (n->self_id && n->now_ms >= n->next_ask_ms) {
 		n->next_ask_ms = n->now_ms + ASK_INTERVAL_MS;
 		send_asks(n);
 	}
@@ -600,7 +602,7 @@
 		/* Backend servers may hold what an earlier process gave. */
 		if (n->holds[s].state == HOLD_NONE &&
 		    (!n->ops->in_flight(n->ops_user, s) ||
-		     !rule_on(n, RULE_REQUESTS_END_FIRST)))
+		     !rule_enabled(n, RULE_REQUESTS_END_FIRST)))
 			g_array_append_val(free_shards, s);
 	}
 	send_release(n, msg->from, free_shards);
@@ -650,7 +652,7 @@
 
 	follow_fence(h, sh);
 	/* A leaving owner's word that the record of its leaving overtook. */
-	if ((msg->flags & RELEASE_HAS_IDS) && sh->owner == n->self &&
+	if ((msg->flags & RELEASE_HAS_IDS) && sh->owner == n->self_id &&
 	    msg->from == h->owner_before) {
 		h->has_ids = true;
 		h->blind_since_ms = 0;
@@ -692,7 +694,7 @@
 	}
 	take_ids(n, msg);
 	if (handed) {
-		member_msg_init(&answer, MSG_HANDED);
+		member_msg_init(&answer, MSG_IDS_ACK);
 		member_send(n, msg->from, &answer);
 	}
 	holds_tick(n);
@@ -716,7 +718,7 @@
 {
 	const struct hold *h;
 
-	if (shard >= n->n_holds || !n->self)
+	if (shard >= n->n_holds || !n->self_id)
 		return false;
 	h = &n->holds[shard];
 	if (h->state != HOLD_HELD)
@@ -741,9 +743,9 @@
 
 	if (shard >= n->n_holds || entitled(n, shard, &step))
 		return shard < n->n_holds;
-	if (n->self || !n->want_member)
+	if (n->self_id || !n->want_member)
 		return false;
 	owner = fleet_member(&n->fleet, holds_shard(n, shard)->owner);
-	return owner && !strcmp(owner->host, n->me.host) && n->me.life[0] &&
-	       !strcmp(owner->life, n->me.life);
+	return owner && !strcmp(owner->host, n->join_info.host) &&
+	       n->join_info.life[0] && !strcmp(owner->life, n->join_info.life);
 }
--- a/member/internal.h
+++ b/member/internal.h
@@ -5,7 +5,8 @@
 
 /* Shared between the files of member/ only. */
 
-static inline bool rule_on(const struct member_node *n, enum member_rule rule)
+static inline bool rule_enabled(const struct member_node *n,
+				enum member_rule rule)
 {
 #ifdef RULE_SWITCHES
 	return !(n->disabled_rules & rule);
@@ -17,7 +18,7 @@
 }
 
 /* How long a witness waits so that any lease it vouched for has ended. */
-static inline int64_t member_wait_ms(const struct member_node *n)
+static inline int64_t member_lease_wait_ms(const struct member_node *n)
 {
 	int64_t ms = n->timing.lease_ms;
 
@@ -42,36 +43,36 @@
 
 /* lease.c */
 void lease_tick(struct member_node *n);
-void lease_ask_now(struct member_node *n);
+void lease_request_soon(struct member_node *n);
 void lease_on_vouch(struct member_node *n, const struct member_msg *msg);
 void lease_on_denied(struct member_node *n, const struct member_msg *msg);
 bool lease_valid(const struct member_node *n);
-bool lease_by_new_witnesses(const struct member_node *n,
-			    const struct member *m);
+bool lease_new_set_vouches(const struct member_node *n, const struct member *m);
 void lease_prepare_settle(struct member_node *n, const struct member *m);
-bool lease_covers_lent(const struct member_node *n, const struct member *m);
-bool lease_is_lost(const struct member_node *n);
-bool lease_may_come_from(const struct member_node *n,
-			 const struct witness_set *w);
-bool lease_witnesses_applied(const struct member_node *n,
-			     const struct witness_set *w, int64_t offset);
+bool lease_new_set_covers(const struct member_node *n, const struct member *m);
+bool lease_is_irrecoverable(const struct member_node *n);
+bool lease_obtainable_from(const struct member_node *n,
+			   const struct witness_set *w);
+bool lease_majority_applied(const struct member_node *n,
+			    const struct witness_set *w, int64_t offset);
 
 /* witness.c */
 void witness_tick(struct member_node *n);
-void witness_on_ask(struct member_node *n, const struct member_msg *msg);
+void witness_on_request(struct member_node *n, const struct member_msg *msg);
 void witness_on_resign(struct member_node *n, const struct member_msg *msg);
-void witness_refresh(struct member_node *n);
-GArray *witness_successors(const struct member_node *n, int64_t subject);
+void witness_update_subjects(struct member_node *n);
+GArray *member_successors(const struct member_node *n, int64_t subject);
 
 /* takeover.c */
 void takeover_tick(struct member_node *n);
-void takeover_on_stopped(struct member_node *n, const struct member_msg *msg);
-bool takeover_proved(const struct member_node *n, int64_t subject);
-bool takeover_set_silent(const struct member_node *n, int64_t subject,
-			 const struct witness_set *w);
-int64_t takeover_proved_since(const struct member_node *n, int64_t subject);
-void takeover_learn(struct member_node *n, const GArray *ids);
-void takeover_forget(struct member_node *n, int64_t subject);
+void takeover_on_promise(struct member_node *n, const struct member_msg *msg);
+bool takeover_stop_proved(const struct member_node *n, int64_t subject);
+bool takeover_set_allows_expel(const struct member_node *n, int64_t subject,
+			       const struct witness_set *w);
+int64_t takeover_last_promise_at_ms(const struct member_node *n,
+				    int64_t subject);
+void takeover_mark_stopped(struct member_node *n, const GArray *ids);
+void takeover_remove_member(struct member_node *n, int64_t subject);
 
 /* holds.c */
 void holds_tick(struct member_node *n);
--- a/member/lease.c
+++ b/member/lease.c
@@ -3,12 +3,14 @@
 #include "member/internal.h"
 #include "util/counters.h"
 
-static struct vouch *find_vouch(const struct member_node *n, int64_t witness)
+static struct witness_status *find_witness_status(const struct member_node *n,
+						  int64_t witness)
 {
 	uint32_t i;
 
-	for (i = 0; i < n->vouches->len; i++) {
-		struct vouch *v = &g_array_index(n->vouches, struct vouch, i);
+	for (i = 0; i < n->own_witnesses->len; i++) {
+		struct witness_status *v = &g_array_index(
+			n->own_witnesses, struct witness_status, i);
 
 		if (v->witness == witness)
 			return v;
@@ -16,34 +18,38 @@
 	return NULL;
 }
 
-static void add_missing(struct member_node *n, const struct witness_set *w)
+static void add_missing_witnesses(struct member_node *n,
+				  const struct witness_set *w)
 {
 	uint32_t i;
 
 	for (i = 0; i < w->n; i++) {
-		struct vouch v = { .witness = w->id[i], .applied = -1 };
+		struct witness_status v = { .witness = w->id[i],
+					    .applied = -1 };
 
-		if (w->id[i] != LOG_WITNESS && !find_vouch(n, w->id[i]))
-			g_array_append_val(n->vouches, v);
+		if (w->id[i] != LOG_WITNESS &&
+		    !find_witness_status(n, w->id[i]))
+			g_array_append_val(n->own_witnesses, v);
 	}
 }
 
-static void follow_witness_sets(struct member_node *n, const struct member *m)
+static void update_own_witnesses(struct member_node *n, const struct member *m)
 {
 	uint32_t i;
 
-	for (i = n->vouches->len; i-- > 0;) {
-		struct vouch *v = &g_array_index(n->vouches, struct vouch, i);
+	for (i = n->own_witnesses->len; i-- > 0;) {
+		struct witness_status *v = &g_array_index(
+			n->own_witnesses, struct witness_status, i);
 
 		if (!witness_set_has(&m->witnesses, v->witness) &&
 		    !witness_set_has(&m->old_witnesses, v->witness))
-			g_array_remove_index_fast(n->vouches, i);
+			g_array_remove_index_fast(n->own_witnesses, i);
 	}
-	add_missing(n, &m->witnesses);
-	add_missing(n, &m->old_witnesses);
+	add_missing_witnesses(n, &m->witnesses);
+	add_missing_witnesses(n, &m->old_witnesses);
 }
 
-static int descending(gconstpointer a, gconstpointer b)
+static int compare_descending(gconstpointer a, gconstpointer b)
 {
 	int64_t x = *(const int64_t *)a;
 	int64_t y = *(const int64_t *)b;
@@ -51,27 +57,27 @@
 	return (x < y) - (x > y);
 }
 
-static int64_t set_vouched_ms(const struct member_node *n,
-			      const struct witness_set *w)
+static int64_t set_lease_start_ms(const struct member_node *n,
+				  const struct witness_set *w)
 {
 	int64_t sent[FLEET_MAX_WITNESSES];
 	uint32_t i;
 
 	for (i = 0; i < w->n; i++) {
-		struct vouch *v = find_vouch(n, w->id[i]);
+		struct witness_status *v = find_witness_status(n, w->id[i]);
 
-		sent[i] = v ? v->sent_ms : 0;
+		sent[i] = v ? v->request_sent_at_ms : 0;
 		if (w->id[i] == LOG_WITNESS)
-			sent[i] = n->log_read_sent_ms;
+			sent[i] = n->log_read_started_at_ms;
 	}
 	if (!w->n)
 		return 0;
-	qsort(sent, w->n, sizeof(sent[0]), descending);
+	qsort(sent, w->n, sizeof(sent[0]), compare_descending);
 	/*
 	 * With fewer than a majority a second owner could gather the other
 	 * half of the witnesses' promises; two majorities share a witness.
 	 */
-	return sent[rule_on(n, RULE_MAJORITY) ? w->n / 2 : 0];
+	return sent[rule_enabled(n, RULE_MAJORITY) ? w->n / 2 : 0];
 }
 
 /*
@@ -82,35 +88,36 @@
  * send the record that settles the change, which others may read before we do:
  * to them the new ones alone count.
  */
-static int64_t vouched_ms(const struct member_node *n, const struct member *m)
+static int64_t lease_start_ms(const struct member_node *n,
+			      const struct member *m)
 {
-	int64_t by_new = set_vouched_ms(n, &m->witnesses);
+	int64_t by_new = set_lease_start_ms(n, &m->witnesses);
 	int64_t by_old;
 
-	if (!m->old_witnesses.n || !rule_on(n, RULE_OLD_WITNESSES_COUNT))
+	if (!m->old_witnesses.n || !rule_enabled(n, RULE_OLD_WITNESSES_COUNT))
 		return by_new;
-	by_old = set_vouched_ms(n, &m->old_witnesses);
-	if (n->settling == m->witness_offset &&
-	    rule_on(n, RULE_NEW_WITNESSES_COUNT))
+	by_old = set_lease_start_ms(n, &m->old_witnesses);
+	if (n->settling_offset == m->witness_offset &&
+	    rule_enabled(n, RULE_NEW_WITNESSES_COUNT))
 		return MIN(by_new, by_old);
 	return by_old;
 }
 
 int64_t member_lease_end_ms(const struct member_node *n)
 {
-	const struct member *m = fleet_member(&n->fleet, n->self);
+	const struct member *m = fleet_member(&n->fleet, n->self_id);
 	int64_t vouched;
 
-	if (!n->self || !m)
+	if (!n->self_id || !m)
 		return 0;
-	vouched = vouched_ms(n, m);
+	vouched = lease_start_ms(n, m);
 	return vouched ? vouched + n->timing.lease_ms : 0;
 }
 
 /* Whether the lease would go on if only the new witnesses counted. */
-bool lease_by_new_witnesses(const struct member_node *n, const struct member *m)
+bool lease_new_set_vouches(const struct member_node *n, const struct member *m)
 {
-	int64_t vouched = set_vouched_ms(n, &m->witnesses);
+	int64_t vouched = set_lease_start_ms(n, &m->witnesses);
 
 	return vouched && n->now_ms - vouched < n->timing.lease_ms / 2;
 }
@@ -123,21 +130,21 @@
  */
 void lease_prepare_settle(struct member_node *n, const struct member *m)
 {
-	if (n->settling != m->witness_offset) {
-		n->lent_until_ms = member_lease_end_ms(n);
+	if (n->settling_offset != m->witness_offset) {
+		n->settle_lease_until_ms = member_lease_end_ms(n);
 		n->settle_sent = false;
-		n->settling = m->witness_offset;
-	} else if (!n->settle_sent && !lease_by_new_witnesses(n, m)) {
-		n->settling = 0;
+		n->settling_offset = m->witness_offset;
+	} else if (!n->settle_sent && !lease_new_set_vouches(n, m)) {
+		n->settling_offset = 0;
 	}
 }
 
 /* Whether the new witnesses alone have vouched for all that we lent. */
-bool lease_covers_lent(const struct member_node *n, const struct member *m)
+bool lease_new_set_covers(const struct member_node *n, const struct member *m)
 {
-	return n->settling == m->witness_offset &&
-	       set_vouched_ms(n, &m->witnesses) + n->timing.lease_ms >=
-		       n->lent_until_ms;
+	return n->settling_offset == m->witness_offset &&
+	       set_lease_start_ms(n, &m->witnesses) + n->timing.lease_ms >=
+		       n->settle_lease_until_ms;
 }
 
 /* Whether we may serve at all just now. */
@@ -146,14 +153,14 @@
 	return member_lease_end_ms(n) > n->now_ms;
 }
 
-static bool set_is_lost(const struct member_node *n,
-			const struct witness_set *w)
+static bool set_is_irrecoverable(const struct member_node *n,
+				 const struct witness_set *w)
 {
 	uint32_t denied = 0;
 	uint32_t i;
 
 	for (i = 0; i < w->n; i++) {
-		struct vouch *v = find_vouch(n, w->id[i]);
+		struct witness_status *v = find_witness_status(n, w->id[i]);
 
 		denied += v && v->denied;
 	}
@@ -161,28 +168,28 @@
 }
 
 /* Whether so many witnesses have promised that no lease can come again. */
-bool lease_is_lost(const struct member_node *n)
+bool lease_is_irrecoverable(const struct member_node *n)
 {
-	const struct member *m = fleet_member(&n->fleet, n->self);
+	const struct member *m = fleet_member(&n->fleet, n->self_id);
 
 	if (!m)
 		return false;
-	return set_is_lost(n, &m->witnesses) ||
-	       set_is_lost(n, &m->old_witnesses);
+	return set_is_irrecoverable(n, &m->witnesses) ||
+	       set_is_irrecoverable(n, &m->old_witnesses);
 }
 
 /*
  * Whether a majority of a set may yet vouch: processes that are there and have
  * not promised to give no vouch again.
  */
-bool lease_may_come_from(const struct member_node *n,
-			 const struct witness_set *w)
+bool lease_obtainable_from(const struct member_node *n,
+			   const struct witness_set *w)
 {
 	uint32_t able = 0;
 	uint32_t i;
 
 	for (i = 0; i < w->n; i++) {
-		struct vouch *v = find_vouch(n, w->id[i]);
+		struct witness_status *v = find_witness_status(n, w->id[i]);
 
 		able += w->id[i] == LOG_WITNESS ||
 			(fleet_member_by_process(&n->fleet, w->id[i]) &&
@@ -196,32 +203,33 @@
  * the record at offset. A successor then cannot gather a proof from that set
  * without learning of the record.
  */
-bool lease_witnesses_applied(const struct member_node *n,
-			     const struct witness_set *w, int64_t offset)
+bool lease_majority_applied(const struct member_node *n,
+			    const struct witness_set *w, int64_t offset)
 {
 	uint32_t know = 0;
 	uint32_t i;
 
 	for (i = 0; i < w->n; i++) {
-		struct vouch *v = find_vouch(n, w->id[i]);
+		struct witness_status *v = find_witness_status(n, w->id[i]);
 
 		know += w->id[i] == LOG_WITNESS || (v && v->applied >= offset);
 	}
 	return know >= w->n / 2 + 1;
 }
 
-static void send_ask(struct member_node *n, int64_t process, int64_t to)
+static void send_vouch_request(struct member_node *n, int64_t process,
+			       int64_t to)
 {
 	struct member_msg msg;
 
-	member_msg_init(&msg, MSG_VOUCH_ASK);
-	msg.seq = n->now_ms;
+	member_msg_init(&msg, MSG_VOUCH_REQUEST);
+	msg.requested_at_ms = n->now_ms;
 	msg.flags = process;
 	member_send(n, to, &msg);
 	COUNT(vouches_sent);
 }
 
-static void send_asks(struct member_node *n, const struct member *m)
+static void send_vouch_requests(struct member_node *n, const struct member *m)
 {
 	struct member *other;
 	uint32_t i;
@@ -229,12 +237,14 @@
 	if (witness_set_has(&m->witnesses, LOG_WITNESS) ||
 	    witness_set_has(&m->old_witnesses, LOG_WITNESS)) {
 		for_each_member (&n->fleet, other, i)
-			if (other->id != n->self)
-				send_ask(n, other->process, other->id);
+			if (other->id != n->self_id)
+				send_vouch_request(n, other->process,
+						   other->id);
 		return;
 	}
-	for (i = 0; i < n->vouches->len; i++) {
-		struct vouch *v = &g_array_index(n->vouches, struct vouch, i);
+	for (i = 0; i < n->own_witnesses->len; i++) {
+		struct witness_status *v = &g_array_index(
+			n->own_witnesses, struct witness_status, i);
 
 		/*
 		 * A witness that is a member no more still keeps its promises
@@ -245,39 +255,41 @@
 		if (other)
 			v->member = other->id;
 		if (v->member)
-			send_ask(n, v->witness, v->member);
+			send_vouch_request(n, v->witness, v->member);
 	}
 }
 
 /* Ask on the next tick rather than wait for the interval. */
-void lease_ask_now(struct member_node *n)
+void lease_request_soon(struct member_node *n)
 {
 	int64_t soon = n->now_ms + 20;
 
-	n->next_vouch_ms = MIN(n->next_vouch_ms, soon);
+	n->next_vouch_request_at_ms = MIN(n->next_vouch_request_at_ms, soon);
 }
 
 /* Ask for vouches when due and note gain and loss of the lease. */
 void lease_tick(struct member_node *n)
 {
-	const struct member *m = fleet_member(&n->fleet, n->self);
+	const struct member *m = fleet_member(&n->fleet, n->self_id);
 	bool valid;
 
 	if (!m)
 		return;
-	follow_witness_sets(n, m);
-	if (n->now_ms >= n->next_vouch_ms && !lease_is_lost(n)) {
-		n->next_vouch_ms = n->now_ms + n->timing.vouch_interval_ms;
-		send_asks(n, m);
+	update_own_witnesses(n, m);
+	if (n->now_ms >= n->next_vouch_request_at_ms &&
+	    !lease_is_irrecoverable(n)) {
+		n->next_vouch_request_at_ms =
+			n->now_ms + n->timing.vouch_interval_ms;
+		send_vouch_requests(n, m);
 	}
 	valid = lease_valid(n);
 	if (n->had_lease && !valid)
 		COUNT(lease_lapses);
 	if (n->had_lease != valid)
 		member_note(n, valid ? NOTE_LEASE_GAINED : NOTE_LEASE_LAPSED,
-			    n->self);
+			    n->self_id);
 	n->had_lease = valid;
-	n->leased = n->leased || valid;
+	n->ever_leased = n->ever_leased || valid;
 	if (valid)
 		n->no_lease_since_ms = 0;
 	else if (!n->no_lease_since_ms)
@@ -287,7 +299,7 @@
 /* A witness vouched for the ask that we sent at msg->seq. */
 void lease_on_vouch(struct member_node *n, const struct member_msg *msg)
 {
-	struct vouch *v = find_vouch(n, msg->flags);
+	struct witness_status *v = find_witness_status(n, msg->flags);
 
 	if (!v)
 		return;
@@ -296,24 +308,27 @@
 	 * arrival of that answer, which may have been held up on the way,
 	 * would let our lease outlast its wait.
 	 */
-	if (rule_on(n, RULE_LEASE_FROM_SENDING))
-		v->sent_ms = MAX(v->sent_ms, msg->seq);
+	if (rule_enabled(n, RULE_LEASE_FROM_SENDING))
+		v->request_sent_at_ms =
+			MAX(v->request_sent_at_ms, msg->requested_at_ms);
 	else
-		v->sent_ms = n->now_ms;
+		v->request_sent_at_ms = n->now_ms;
 	v->applied = MAX(v->applied, msg->applied);
-	takeover_learn(n, msg->list);
+	takeover_mark_stopped(n, msg->list);
 }
 
 /* A witness of ours has promised not to vouch for us again. */
 void lease_on_denied(struct member_node *n, const struct member_msg *msg)
 {
-	struct vouch *v = find_vouch(n, msg->flags);
+	struct witness_status *v = find_witness_status(n, msg->flags);
 
 	if (!v || v->denied)
 		return;
 	v->denied = true;
-	n->denied.id[n->denied.n % FLEET_MAX_WITNESSES] = v->witness;
-	n->denied.n = MIN(n->denied.n + 1, FLEET_MAX_WITNESSES);
+	n->denied_witnesses.id[n->denied_witnesses.n % FLEET_MAX_WITNESSES] =
+		v->witness;
+	n->denied_witnesses.n =
+		MIN(n->denied_witnesses.n + 1, FLEET_MAX_WITNESSES);
 	COUNT(vouches_denied);
 	member_note(n, "vouch denied by", msg->flags);
 }
--- a/member/member.c
+++ b/member/member.c
@@ -6,7 +6,7 @@
 #include "util/result.h"
 
 #define RESIGN_INTERVAL_MS 200
-#define PAUSE_MS 400
+#define PAUSE_THRESHOLD_MS 400
 
 static void on_event(void *user, const struct fleet_event *ev);
 
@@ -15,7 +15,7 @@
 	json_decref(p);
 }
 
-void member_init(struct member_node *n, const struct member *me,
+void member_init(struct member_node *n, const struct member *join_info,
 		 const struct member_timing *timing,
 		 const struct member_ops *ops, void *ops_user, int64_t now_ms,
 		 uint32_t seed)
@@ -24,7 +24,7 @@
 	fleet_init(&n->fleet);
 	n->fleet.on_event = on_event;
 	n->fleet.on_event_user = n;
-	n->me = *me;
+	n->join_info = *join_info;
 	n->timing = *timing;
 	n->ops = ops;
 	n->ops_user = ops_user;
@@ -32,19 +32,22 @@
 	n->ahead_applied = -1;
 	n->published_source = -1;
 	n->changes_source = -1;
-	n->needs_source = n->fleet.source;
+	n->required_source_offset = n->fleet.source;
 	n->rand = g_rand_new_with_seed(seed);
 	/* We cannot know how long ago a record read at the start was made. */
-	n->quiet_until_ms = now_ms + member_wait_ms(n);
+	n->no_acquire_until_ms = now_ms + member_lease_wait_ms(n);
 	n->snapshot_seen_ms = now_ms;
 	n->balance_since_ms = now_ms;
-	n->vouches = g_array_new(FALSE, FALSE, sizeof(struct vouch));
-	n->watches = g_array_new(FALSE, FALSE, sizeof(struct watch));
-	n->proofs = g_array_new(FALSE, FALSE, sizeof(struct proof));
-	n->stopped = g_array_new(FALSE, FALSE, sizeof(int64_t));
+	n->own_witnesses =
+		g_array_new(FALSE, FALSE, sizeof(struct witness_status));
+	n->witnessed =
+		g_array_new(FALSE, FALSE, sizeof(struct witnessed_member));
+	n->stop_promises =
+		g_array_new(FALSE, FALSE, sizeof(struct stop_promise));
+	n->stopped_members = g_array_new(FALSE, FALSE, sizeof(int64_t));
 	n->releases = g_array_new(FALSE, FALSE, sizeof(int64_t));
 	n->handed = g_array_new(FALSE, FALSE, sizeof(int64_t));
-	n->own_before = g_array_new(FALSE, FALSE, sizeof(int64_t));
+	n->earlier_incarnations = g_array_new(FALSE, FALSE, sizeof(int64_t));
 	n->followers = g_array_new(FALSE, FALSE, sizeof(int64_t));
 	n->relays = g_array_new(FALSE, FALSE, sizeof(int64_t));
 	n->snapshot_parts = g_ptr_array_new_with_free_func(json_decref_p);
@@ -56,13 +59,13 @@
 {
 	fleet_finish(&n->fleet);
 	g_rand_free(n->rand);
-	g_array_unref(n->vouches);
-	g_array_unref(n->watches);
-	g_array_unref(n->proofs);
-	g_array_unref(n->stopped);
+	g_array_unref(n->own_witnesses);
+	g_array_unref(n->witnessed);
+	g_array_unref(n->stop_promises);
+	g_array_unref(n->stopped_members);
 	g_array_unref(n->releases);
 	g_array_unref(n->handed);
-	g_array_unref(n->own_before);
+	g_array_unref(n->earlier_incarnations);
 	g_array_unref(n->followers);
 	g_array_unref(n->relays);
 	g_ptr_array_unref(n->snapshot_parts);
@@ -76,13 +79,13 @@
 /* The state of our own service, NULL until it is configured. */
 struct fleet_service *member_service(const struct member_node *n)
 {
-	return fleet_service(&n->fleet, n->me.service);
+	return fleet_service(&n->fleet, n->join_info.service);
 }
 
 /* Fill in who sends and send. */
 void member_send(struct member_node *n, int64_t to, struct member_msg *msg)
 {
-	msg->from = n->self;
+	msg->from = n->self_id;
 	msg->to = to;
 	msg->applied = n->fleet.applied;
 	n->ops->send(n->ops_user, to, msg);
@@ -105,33 +108,34 @@
 void member_leave_incarnation(struct member_node *n)
 {
 	holds_drop_all(n);
-	g_array_set_size(n->vouches, 0);
-	g_array_set_size(n->proofs, 0);
-	n->self = 0;
+	g_array_set_size(n->own_witnesses, 0);
+	g_array_set_size(n->stop_promises, 0);
+	n->self_id = 0;
 	n->had_lease = false;
 	n->no_lease_since_ms = 0;
 	n->handed_over_ms = 0;
 	g_array_set_size(n->handed, 0);
-	n->denied.n = 0;
-	n->leased = false;
+	n->denied_witnesses.n = 0;
+	n->ever_leased = false;
 }
 
-static void on_joined(struct member_node *n, const struct member *m)
+static void on_member_joined(struct member_node *n, const struct member *m)
 {
-	if (!strcmp(m->service, n->me.service))
+	if (!strcmp(m->service, n->join_info.service))
 		n->last_join_ms = n->now_ms;
-	if (strcmp(m->nonce, n->me.nonce) || strcmp(m->host, n->me.host))
+	if (strcmp(m->nonce, n->join_info.nonce) ||
+	    strcmp(m->host, n->join_info.host))
 		return;
 	member_leave_incarnation(n);
-	n->self = m->id;
+	n->self_id = m->id;
 	n->process = m->process;
-	n->me.process = m->process;
-	n->next_vouch_ms = n->now_ms;
-	n->joined_ms = n->now_ms;
-	member_note(n, "joined as", n->self);
+	n->join_info.process = m->process;
+	n->next_vouch_request_at_ms = n->now_ms;
+	n->joined_at_ms = n->now_ms;
+	member_note(n, "joined as", n->self_id);
 }
 
-static void on_gone(struct member_node *n, const struct member *m)
+static void on_member_removed(struct member_node *n, const struct member *m)
 {
 	/*
 	 * A member whose witness was the log learns of its expulsion by
@@ -139,15 +143,15 @@
 	 */
 	if ((witness_set_has(&m->witnesses, LOG_WITNESS) ||
 	     witness_set_has(&m->old_witnesses, LOG_WITNESS)) &&
-	    m->id != n->self && rule_on(n, RULE_LOG_WITNESS_WAIT))
-		n->quiet_until_ms = n->now_ms + member_wait_ms(n);
-	if (!strcmp(m->host, n->me.host))
-		g_array_append_val(n->own_before, m->id);
-	if (m->id == n->self) {
-		member_note(n, "expelled", n->self);
+	    m->id != n->self_id && rule_enabled(n, RULE_LOG_WITNESS_WAIT))
+		n->no_acquire_until_ms = n->now_ms + member_lease_wait_ms(n);
+	if (!strcmp(m->host, n->join_info.host))
+		g_array_append_val(n->earlier_incarnations, m->id);
+	if (m->id == n->self_id) {
+		member_note(n, "expelled", n->self_id);
 		member_leave_incarnation(n);
 	}
-	takeover_forget(n, m->id);
+	takeover_remove_member(n, m->id);
 }
 
 static void on_event(void *user, const struct fleet_event *ev)
@@ -156,11 +160,11 @@
 
 	switch (ev->type) {
 	case FLEET_MEMBER_JOINED:
-		on_joined(n, ev->member);
+		on_member_joined(n, ev->member);
 		break;
 	case FLEET_MEMBER_GONE:
 		holds_on_gone(n, ev);
-		on_gone(n, ev->member);
+		on_member_removed(n, ev->member);
 		break;
 	case FLEET_SHARD_MOVED:
 		holds_on_moved(n, ev);
@@ -179,14 +183,14 @@
 void member_state_replaced(struct member_node *n)
 {
 	COUNT(snapshots_loaded);
-	if (n->self && !fleet_member(&n->fleet, n->self))
+	if (n->self_id && !fleet_member(&n->fleet, n->self_id))
 		member_leave_incarnation(n);
-	n->quiet_until_ms = n->now_ms + member_wait_ms(n);
+	n->no_acquire_until_ms = n->now_ms + member_lease_wait_ms(n);
 	g_queue_free_full(n->cache, cached_record_free);
 	n->cache = g_queue_new();
 	n->cache_bytes = 0;
 	holds_resize(n);
-	witness_refresh(n);
+	witness_update_subjects(n);
 }
 
 int member_on_record(struct member_node *n, int64_t offset,
@@ -215,11 +219,12 @@
 	sync_remember(n, offset, append_id, record);
 	if (n->fleet.snapshot_offset != snapshot)
 		n->snapshot_seen_ms = n->now_ms;
-	witness_refresh(n);
+	witness_update_subjects(n);
 	return err;
 }
 
-int member_load(struct member_node *n, const json_t *snapshot, int64_t now_ms)
+int member_load_snapshot(struct member_node *n, const json_t *snapshot,
+			 int64_t now_ms)
 {
 	int err;
 
@@ -248,20 +253,20 @@
 		n->published_since_ms = n->now_ms;
 }
 
-void member_set_life(struct member_node *n, const char *life)
+void member_set_server_instance(struct member_node *n, const char *life)
 {
-	g_strlcpy(n->me.life, life, sizeof(n->me.life));
+	g_strlcpy(n->join_info.life, life, sizeof(n->join_info.life));
 }
 
-bool member_needs_log(const struct member_node *n)
+bool member_lease_needs_log(const struct member_node *n)
 {
-	const struct member *m = fleet_member(&n->fleet, n->self);
+	const struct member *m = fleet_member(&n->fleet, n->self_id);
 
 	return !m || witness_set_has(&m->witnesses, LOG_WITNESS) ||
 	       witness_set_has(&m->old_witnesses, LOG_WITNESS);
 }
 
-bool member_is_level(const struct member_node *n)
+bool member_is_caught_up(const struct member_node *n)
 {
 	return n->log_caught_up || n->peer_caught_up;
 }
@@ -271,7 +276,7 @@
 	return n->published_in_force || n->peer_caught_up;
 }
 
-bool member_has_news(const struct member_node *n)
+bool member_is_behind(const struct member_node *n)
 {
 	return n->published_source > n->fleet.source ||
 	       n->ahead_applied > n->fleet.applied;
@@ -281,40 +286,44 @@
  * A change that operators published may not be a record of the log yet, and
  * those who would have brought it in may all have ended.
  */
-static void look_at_published(struct member_node *n)
+static void check_published_in_force(struct member_node *n)
 {
-	if (n->published_in_force || !n->log_caught_up || n->awaits_published ||
-	    n->needs_source > n->fleet.source)
+	if (n->published_in_force || !n->log_caught_up ||
+	    n->operator_stream_pending ||
+	    n->required_source_offset > n->fleet.source)
 		return;
 	n->published_in_force = true;
 	member_note(n, NOTE_CURRENT, n->fleet.configuration_version);
 }
 
-void member_expect_published(struct member_node *n)
+void member_expect_operator_stream(struct member_node *n)
 {
-	n->awaits_published = true;
+	n->operator_stream_pending = true;
 }
 
-void member_published_read(struct member_node *n, int64_t now_ms)
+void member_operator_stream_read(struct member_node *n, int64_t now_ms)
 {
 	n->now_ms = MAX(n->now_ms, now_ms);
-	if (!n->awaits_published)
+	if (!n->operator_stream_pending)
 		return;
-	n->awaits_published = false;
-	n->needs_source = MAX(n->needs_source, n->published_source);
-	look_at_published(n);
+	n->operator_stream_pending = false;
+	n->required_source_offset =
+		MAX(n->required_source_offset, n->published_source);
+	check_published_in_force(n);
 }
 
-void member_on_log_tail(struct member_node *n, int64_t sent_ms, int64_t now_ms)
+void member_on_log_tail(struct member_node *n, int64_t read_started_at_ms,
+			int64_t now_ms)
 {
 	n->now_ms = MAX(n->now_ms, now_ms);
-	n->log_read_sent_ms = MAX(n->log_read_sent_ms, sent_ms);
+	n->log_read_started_at_ms =
+		MAX(n->log_read_started_at_ms, read_started_at_ms);
 	if (!n->log_caught_up) {
-		n->first_end = n->fleet.applied;
+		n->initial_log_end = n->fleet.applied;
 		member_note(n, NOTE_CAUGHT_UP, LOG_WITNESS);
 	}
 	n->log_caught_up = true;
-	look_at_published(n);
+	check_published_in_force(n);
 }
 
 static void send_resign(struct member_node *n, int64_t process)
@@ -331,13 +340,13 @@
 
 static void resign_tick(struct member_node *n)
 {
-	const struct member *m = fleet_member(&n->fleet, n->self);
+	const struct member *m = fleet_member(&n->fleet, n->self_id);
 	uint32_t i;
 
 	if (!m || !n->resigning || !holds_idle(n) ||
-	    n->now_ms < n->next_resign_ms)
+	    n->now_ms < n->next_resign_at_ms)
 		return;
-	n->next_resign_ms = n->now_ms + RESIGN_INTERVAL_MS;
+	n->next_resign_at_ms = n->now_ms + RESIGN_INTERVAL_MS;
 	holds_hand_over(n);
 	if (!holds_handed_over(n))
 		return;
@@ -347,7 +356,7 @@
 		send_resign(n, m->old_witnesses.id[i]);
 }
 
-static void forgive_own_pause(struct member_node *n)
+static void restart_witness_timers(struct member_node *n)
 {
 	uint32_t i;
 
@@ -355,48 +364,54 @@
 	 * While this process was paused it heard nobody, and on waking would
 	 * promise stops for members that are well. Waiting longer is safe.
 	 */
-	for (i = 0; i < n->watches->len; i++)
-		g_array_index(n->watches, struct watch, i).last_ms = n->now_ms;
+	for (i = 0; i < n->witnessed->len; i++)
+		g_array_index(n->witnessed, struct witnessed_member, i)
+			.last_request_at_ms = n->now_ms;
 }
 
 void member_tick(struct member_node *n, int64_t now_ms)
 {
-	bool paused = now_ms - n->last_tick_ms > PAUSE_MS;
+	bool paused = now_ms - n->last_tick_at_ms > PAUSE_THRESHOLD_MS;
 
 	n->now_ms = MAX(n->now_ms, now_ms);
-	n->last_tick_ms = n->now_ms;
+	n->last_tick_at_ms = n->now_ms;
 	if (paused)
-		forgive_own_pause(n);
+		restart_witness_timers(n);
 	takeover_tick(n);
 	lease_tick(n);
 	witness_tick(n);
 	holds_tick(n);
 	resign_tick(n);
 	sync_tick(n);
-	look_at_published(n);
+	check_published_in_force(n);
 	propose_tick(n);
 }
 
-static bool needs_own_id(enum member_msg_type type)
+static bool addressed_to_member(enum member_msg_type type)
 {
-	return type == MSG_VOUCH || type == MSG_STOPPED ||
-	       type == MSG_RELEASE_ASK || type == MSG_RELEASE ||
-	       type == MSG_HANDED;
+	return type == MSG_VOUCH || type == MSG_STOP_PROMISE ||
+	       type == MSG_RELEASE_REQUEST || type == MSG_RELEASE ||
+	       type == MSG_IDS_ACK;
 }
 
-static bool needs_own_process(enum member_msg_type type)
+static bool addressed_to_process(enum member_msg_type type)
 {
-	return type == MSG_VOUCH_ASK || type == MSG_RESIGN;
+	return type == MSG_VOUCH_REQUEST || type == MSG_RESIGN;
 }
 
 typedef void (*msg_handler)(struct member_node *, const struct member_msg *);
 
 static const msg_handler handlers[MSG_N_TYPES] = {
-	[MSG_VOUCH_ASK] = witness_on_ask,    [MSG_VOUCH] = lease_on_vouch,
-	[MSG_STOPPED] = takeover_on_stopped, [MSG_RESIGN] = witness_on_resign,
-	[MSG_RECORDS_ASK] = sync_on_ask,     [MSG_RECORDS] = sync_on_records,
-	[MSG_STATE] = sync_on_state,	     [MSG_RELEASE_ASK] = holds_on_ask,
-	[MSG_RELEASE] = holds_on_release,    [MSG_HANDED] = holds_on_handed,
+	[MSG_VOUCH_REQUEST] = witness_on_request,
+	[MSG_VOUCH] = lease_on_vouch,
+	[MSG_STOP_PROMISE] = takeover_on_promise,
+	[MSG_RESIGN] = witness_on_resign,
+	[MSG_RECORDS_REQUEST] = sync_on_ask,
+	[MSG_RECORDS] = sync_on_records,
+	[MSG_STATE] = sync_on_state,
+	[MSG_RELEASE_REQUEST] = holds_on_ask,
+	[MSG_RELEASE] = holds_on_release,
+	[MSG_IDS_ACK] = holds_on_handed,
 };
 
 void member_on_message(struct member_node *n, const struct member_msg *msg,
@@ -409,16 +424,18 @@
 	 * promised. Answering for that self would let a vouch follow a
 	 * promise to give none.
 	 */
-	if (needs_own_id(msg->type) && (!n->self || msg->to != n->self))
+	if (addressed_to_member(msg->type) &&
+	    (!n->self_id || msg->to != n->self_id))
 		return;
-	if (needs_own_process(msg->type) &&
+	if (addressed_to_process(msg->type) &&
 	    (!n->process || msg->flags != n->process))
 		return;
 	if (handlers[msg->type])
 		handlers[msg->type](n, msg);
 }
 
-void member_set_wanted(struct member_node *n, bool wanted, int64_t now_ms)
+void member_set_membership_wanted(struct member_node *n, bool wanted,
+				  int64_t now_ms)
 {
 	n->now_ms = MAX(n->now_ms, now_ms);
 	n->want_member = wanted;
@@ -429,11 +446,11 @@
 	 */
 	if (wanted && n->resigning)
 		member_leave_incarnation(n);
-	n->resigning = !wanted && n->self;
+	n->resigning = !wanted && n->self_id;
 	n->next_join_ms = n->now_ms;
 }
 
-bool member_is_needed(const struct member_node *n)
+bool member_is_witness(const struct member_node *n)
 {
 	struct member *m;
 	uint32_t i;
@@ -448,9 +465,9 @@
 
 bool member_has_left(const struct member_node *n)
 {
-	if (!n->self)
+	if (!n->self_id)
 		return true;
-	return n->resigning && holds_idle(n) && lease_is_lost(n);
+	return n->resigning && holds_idle(n) && lease_is_irrecoverable(n);
 }
 
 static uint32_t add_candidate(const struct member_node *n, int64_t id,
@@ -467,9 +484,9 @@
 	return count + 1;
 }
 
-uint32_t member_candidates(const struct member_node *n,
-			   const struct fleet_service *s, uint32_t shard,
-			   int64_t *out, uint32_t max)
+uint32_t member_owner_candidates(const struct member_node *n,
+				 const struct fleet_service *s, uint32_t shard,
+				 int64_t *out, uint32_t max)
 {
 	const struct shard *sh = &s->shards[shard];
 	bool owner_stopped = member_known_stopped(n, sh->owner);
--- a/member/member.h
+++ b/member/member.h
@@ -79,29 +79,30 @@
 };
 
 /* Our side of one witness of ours. */
-struct vouch {
+struct witness_status {
 	int64_t witness; /* its process */
 	int64_t member; /* the member that the process was last */
-	int64_t sent_ms; /* sending time of the newest ask it answered */
+	int64_t request_sent_at_ms; /* sending time of the newest ask it
+				       answered */
 	int64_t applied; /* newest offset it reported */
 	bool denied; /* it has promised not to vouch again */
 };
 
 /* What we watch as a witness of somebody. */
-struct watch {
+struct witnessed_member {
 	int64_t subject;
-	int64_t last_ms;
-	int64_t told_ms; /* when we last told others of the stop */
-	int64_t frozen; /* our applied offset at the promise */
-	bool stopped;
+	int64_t last_request_at_ms;
+	int64_t promise_sent_at_ms; /* when we last told others of the stop */
+	int64_t promise_offset; /* our applied offset at the promise */
+	bool promised;
 };
 
 /* A witness's promise about subject, received. */
-struct proof {
+struct stop_promise {
 	int64_t subject;
 	int64_t witness; /* its process */
-	int64_t frozen;
-	int64_t since_ms;
+	int64_t promise_offset;
+	int64_t received_at_ms;
 };
 
 enum append_kind {
@@ -151,7 +152,7 @@
 	 * configuration document. Where its configuration cannot be used, or is
 	 * older, that of the one in force; NULL when there is none.
 	 */
-	json_t *(*published)(void *user, const json_t *in_force);
+	json_t *(*load_published)(void *user, const json_t *in_force);
 	/* A change of state worth a log line. */
 	void (*note)(void *user, const char *what, int64_t subject);
 };
@@ -161,40 +162,46 @@
 	struct member_timing timing;
 	const struct member_ops *ops;
 	void *ops_user;
-	struct member me; /* how we join; id unused */
+	struct member join_info; /* how we join; id unused */
 	GRand *rand;
 	int64_t now_ms;
-	int64_t self; /* our member id, 0 while not a member */
+	int64_t self_id; /* our member id, 0 while not a member */
 	int64_t process; /* id of our first membership, 0 never a member */
 	bool want_member;
 	bool resigning; /* no new work; leave when what runs has ended */
 	bool log_caught_up; /* we have read to the log's end once */
 	bool log_up; /* the last read succeeded; the caller keeps this */
-	int64_t first_end; /* how far the log went when we first read it */
-	int64_t settling; /* the change of witnesses we last settled, or may */
+	int64_t initial_log_end; /* how far the log went when we first read it */
+	int64_t settling_offset; /* the change of witnesses we last settled, or
+				    may */
 	bool settle_sent; /* the record of it */
-	int64_t lent_until_ms; /* the lease's end when both sets began to count */
-	bool leased; /* we have had a lease in this incarnation */
-	int64_t joined_ms; /* when this incarnation began */
+	int64_t settle_lease_until_ms; /* the lease's end when both sets began
+					to count */
+	bool ever_leased; /* we have had a lease in this incarnation */
+	int64_t joined_at_ms; /* when this incarnation began */
 	bool peer_caught_up; /* we have had all that a current peer had once */
-	bool awaits_published; /* the operators' stream is still to be read */
-	int64_t needs_source; /* what it held then, to be in force first */
+	bool operator_stream_pending; /* the operators' stream is still to be
+					 read */
+	int64_t required_source_offset; /* what it held then, to be in force
+					   first */
 	bool published_in_force; /* and it has been, with the log's end read */
 	bool had_lease;
 	int64_t no_lease_since_ms; /* 0 while there is one */
 	struct witness_set unfit; /* witnesses that did not answer us */
-	struct witness_set denied; /* witnesses that vouch for us no more */
-	int64_t last_tick_ms;
-	int64_t log_read_sent_ms; /* start of the last read up to the tail */
-	int64_t quiet_until_ms; /* no shard is acquired before */
-	int64_t next_vouch_ms;
+	struct witness_set
+		denied_witnesses; /* witnesses that vouch for us no more */
+	int64_t last_tick_at_ms;
+	int64_t log_read_started_at_ms; /* start of the last read up to the tail
+					 */
+	int64_t no_acquire_until_ms; /* no shard is acquired before */
+	int64_t next_vouch_request_at_ms;
 	int64_t next_join_ms;
 	int64_t next_ask_ms;
-	int64_t next_resign_ms;
+	int64_t next_resign_at_ms;
 	int64_t next_unsettled_ms; /* when an unsettled move is noted again */
 	GArray *handed; /* int64_t heirs that have our ids */
 	/* int64_t earlier incarnations of this host, seen to go */
-	GArray *own_before;
+	GArray *earlier_incarnations;
 	int64_t handed_over_ms; /* first told our heirs that we leave; 0 not */
 	int64_t behind_since_ms; /* a peer is known to be ahead; 0 not */
 	int64_t ahead_peer;
@@ -220,10 +227,10 @@
 	GPtrArray *snapshot_parts; /* json_t * still to be appended */
 	int64_t snapshot_cut; /* the offset that they stand for */
 	bool snapshot_begun; /* some of them are in the log */
-	GArray *vouches; /* struct vouch */
-	GArray *watches; /* struct watch */
-	GArray *proofs; /* struct proof */
-	GArray *stopped; /* int64_t ids known to have stopped */
+	GArray *own_witnesses; /* struct witness_status */
+	GArray *witnessed; /* struct witnessed_member */
+	GArray *stop_promises; /* struct stop_promise */
+	GArray *stopped_members; /* int64_t ids known to have stopped */
 	struct hold *holds; /* by shard of our service */
 	uint32_t n_holds;
 	GQueue *cache; /* struct cached_record, newest last */
@@ -248,7 +255,7 @@
  * Set up on memory that the caller owns. me tells how to join; seed makes the
  * jitter repeatable.
  */
-void member_init(struct member_node *n, const struct member *me,
+void member_init(struct member_node *n, const struct member *join_info,
 		 const struct member_timing *timing,
 		 const struct member_ops *ops, void *ops_user, int64_t now_ms,
 		 uint32_t seed);
@@ -267,7 +274,8 @@
 		     int64_t now_ms);
 
 /* A read that began at sent_ms showed us to be at the log's end. */
-void member_on_log_tail(struct member_node *n, int64_t sent_ms, int64_t now_ms);
+void member_on_log_tail(struct member_node *n, int64_t read_started_at_ms,
+			int64_t now_ms);
 
 /* The append of a kind ended; the record itself arrives by reading. */
 void member_append_done(struct member_node *n, enum append_kind kind,
@@ -281,7 +289,8 @@
 bool member_append_may_follow(enum append_kind kind);
 
 /* Ask to be a member, or to leave once what runs has ended. */
-void member_set_wanted(struct member_node *n, bool wanted, int64_t now_ms);
+void member_set_membership_wanted(struct member_node *n, bool wanted,
+				  int64_t now_ms);
 
 /*
  * Operators published something in a stream of their own, read up to source and
@@ -295,10 +304,10 @@
  * Operators publish in a stream of their own, which is still to be read; call
  * before the first tick.
  */
-void member_expect_published(struct member_node *n);
+void member_expect_operator_stream(struct member_node *n);
 
 /* That stream has been read to its end. */
-void member_published_read(struct member_node *n, int64_t now_ms);
+void member_operator_stream_read(struct member_node *n, int64_t now_ms);
 
 /*
  * Give shards of ours (uint32_t) to another member, by a record to the log.
@@ -311,16 +320,17 @@
 bool member_may_give(const struct member_node *n, uint32_t shard);
 
 /* Name the life of our backend server, before asking to be a member. */
-void member_set_life(struct member_node *n, const char *life);
+void member_set_server_instance(struct member_node *n, const char *life);
 
 /* Replace the state by a snapshot from the log; results as fleet_load(). */
-int member_load(struct member_node *n, const json_t *snapshot, int64_t now_ms);
+int member_load_snapshot(struct member_node *n, const json_t *snapshot,
+			 int64_t now_ms);
 
 /*
  * Whether the state has been brought level since the start, with the log or
  * with a peer. Until then it may be far behind what is agreed.
  */
-bool member_is_level(const struct member_node *n);
+bool member_is_caught_up(const struct member_node *n);
 
 /*
  * Whether besides all that operators had published by then has been in force
@@ -332,7 +342,7 @@
  * Whether there is something newer than what is applied here, by the operators'
  * stream or by what peers say: a class that none matches may be in it.
  */
-bool member_has_news(const struct member_node *n);
+bool member_is_behind(const struct member_node *n);
 
 /*
  * Whether this node must wait for news at the log itself. Most need not: a few
@@ -354,7 +364,7 @@
 void member_pass_on(struct member_node *n, int64_t offset);
 
 /* Whether our lease rests on reads of the log. */
-bool member_needs_log(const struct member_node *n);
+bool member_lease_needs_log(const struct member_node *n);
 
 /* End of our lease on our clock; in the past when we have none. */
 int64_t member_lease_end_ms(const struct member_node *n);
@@ -395,15 +405,15 @@
  * Fill up to max candidates, best first, for who serves a shard; returns how
  * many. The gates decide; this is where an entry should try.
  */
-uint32_t member_candidates(const struct member_node *n,
-			   const struct fleet_service *s, uint32_t shard,
-			   int64_t *out, uint32_t max);
+uint32_t member_owner_candidates(const struct member_node *n,
+				 const struct fleet_service *s, uint32_t shard,
+				 int64_t *out, uint32_t max);
 
 /*
  * Whether some member still names this process as its witness. A process that
  * is to stop should stay until none does, or it takes a vouch from each.
  */
-bool member_is_needed(const struct member_node *n);
+bool member_is_witness(const struct member_node *n);
 
 /* Whether all of our shards are given up, when resigning. */
 bool member_has_left(const struct member_node *n);
@@ -423,10 +433,10 @@
 	RULE_OLD_WITNESSES_COUNT = 1 << 7,
 	RULE_RESTART_WAITS = 1 << 8,
 	RULE_LOG_WITNESS_WAIT = 1 << 9,
-	RULE_PROMISE_IS_KEPT = 1 << 10,
+	RULE_PROMISE_PERSISTS = 1 << 10,
 	RULE_REQUESTS_END_FIRST = 1 << 11,
-	RULE_PAST_IS_WAITED_OUT = 1 << 12,
-	RULE_SERVER_TELLS_FIRST = 1 << 13,
+	RULE_WAIT_AFTER_START = 1 << 12,
+	RULE_SERVER_REPORTS_FIRST = 1 << 13,
 	RULE_WITNESSES_KNOW_FENCE = 1 << 14,
 	RULE_NEW_WITNESSES_COUNT = 1 << 15,
 	N_MEMBER_RULES = 16,
--- a/member/msg.c
+++ b/member/msg.c
@@ -51,7 +51,7 @@
 	msgpack_pack_int64(&pk, msg->from);
 	msgpack_pack_int64(&pk, msg->to);
 	msgpack_pack_int64(&pk, msg->subject);
-	msgpack_pack_int64(&pk, msg->seq);
+	msgpack_pack_int64(&pk, msg->requested_at_ms);
 	msgpack_pack_int64(&pk, msg->applied);
 	msgpack_pack_int64(&pk, msg->offset);
 	msgpack_pack_int64(&pk, msg->flags);
@@ -107,8 +107,9 @@
 
 static int read_fields(struct member_msg *msg, const msgpack_object *o)
 {
-	int64_t *numbers[] = { &msg->from, &msg->to,	  &msg->subject,
-			       &msg->seq,  &msg->applied, &msg->offset,
+	int64_t *numbers[] = { &msg->from,    &msg->to,
+			       &msg->subject, &msg->requested_at_ms,
+			       &msg->applied, &msg->offset,
 			       &msg->flags };
 	const msgpack_object *field;
 	int64_t type;
@@ -117,7 +118,7 @@
 	if (o->type != MSGPACK_OBJECT_ARRAY || o->via.array.size != N_FIELDS)
 		return RESULT_INVALID;
 	field = o->via.array.ptr;
-	if (read_number(&field[0], &type) || type < MSG_VOUCH_ASK ||
+	if (read_number(&field[0], &type) || type < MSG_VOUCH_REQUEST ||
 	    type >= MSG_N_TYPES)
 		return RESULT_INVALID;
 	msg->type = type;
--- a/member/msg.h
+++ b/member/msg.h
@@ -13,7 +13,7 @@
 	 * A member asks a witness to vouch. seq: its clock when sending;
 	 * flags: the process asked.
 	 */
-	MSG_VOUCH_ASK = 1,
+	MSG_VOUCH_REQUEST = 1,
 	/*
 	 * The witness vouches. seq: echoed; list: ids known to have stopped;
 	 * flags: the witness's process.
@@ -24,14 +24,14 @@
 	 * witness's applied offset when it first promised; flags: the
 	 * witness's process.
 	 */
-	MSG_STOPPED,
+	MSG_STOP_PROMISE,
 	/*
 	 * The subject, which is the sender, has stopped of its own accord.
 	 * flags: the process told.
 	 */
 	MSG_RESIGN,
 	/* Asks for the records from offset on. */
-	MSG_RECORDS_ASK,
+	MSG_RECORDS_REQUEST,
 	/* Records from offset on, as JSON in text. flags: SENDER_*. */
 	MSG_RECORDS,
 	/*
@@ -43,7 +43,7 @@
 	 * The new owner asks who still serves. offset: its applied offset;
 	 * list: shards of the sender's service.
 	 */
-	MSG_RELEASE_ASK,
+	MSG_RELEASE_REQUEST,
 	/*
 	 * The sender does not serve the shards in list and will not, as of
 	 * offset. flags: RELEASE_*. ids: four numbers an entry, see
@@ -51,14 +51,14 @@
 	 */
 	MSG_RELEASE,
 	/* An heir has the ids of a leaving owner's shards. */
-	MSG_HANDED,
+	MSG_IDS_ACK,
 	MSG_N_TYPES,
 };
 
 /* The sender is current, as member_is_current() tells. */
 #define SENDER_IS_CURRENT 1
 /* The sender waits for news at the log, or hears from one who does. */
-#define SENDER_READS_LOG 2
+#define SENDER_FOLLOWS_LOG 2
 
 /* No successor of the sender's can be serving either. */
 #define RELEASE_CLEARS_SUCCESSOR 1
@@ -70,7 +70,7 @@
 	int64_t from; /* sender's member id, 0 not a member */
 	int64_t to; /* addressee's member id, 0 whoever listens there */
 	int64_t subject;
-	int64_t seq;
+	int64_t requested_at_ms;
 	int64_t applied; /* sender's applied offset */
 	int64_t offset;
 	int64_t flags;
--- a/member/propose.c
+++ b/member/propose.c
@@ -117,8 +117,8 @@
 	uint32_t i;
 
 	for_each_member (&n->fleet, m, i)
-		count += m->id > n->first_end + 1 &&
-			 strcmp(m->host, n->me.host);
+		count += m->id > n->initial_log_end + 1 &&
+			 strcmp(m->host, n->join_info.host);
 	return count;
 }
 
@@ -144,11 +144,11 @@
  */
 static bool named_the_dead(const struct member_node *n)
 {
-	const struct member *m = fleet_member(&n->fleet, n->self);
-	bool patience_over = n->now_ms - n->joined_ms >
+	const struct member *m = fleet_member(&n->fleet, n->self_id);
+	bool patience_over = n->now_ms - n->joined_at_ms >
 			     UNANSWERED_ASKS * n->timing.vouch_interval_ms;
 
-	if (n->leased || !n->log_up || !m || n_fresh(n) < FLEET_WITNESSES)
+	if (n->ever_leased || !n->log_up || !m || n_fresh(n) < FLEET_WITNESSES)
 		return false;
 	return patience_over ||
 	       n_replaced(n, &m->witnesses) > m->witnesses.n / 2;
@@ -157,12 +157,12 @@
 /* Members above this are preferred as witnesses; 0 where none are. */
 static int64_t newer_than(const struct member_node *n)
 {
-	return n_fresh(n) >= FLEET_WITNESSES ? n->first_end + 1 : 0;
+	return n_fresh(n) >= FLEET_WITNESSES ? n->initial_log_end + 1 : 0;
 }
 
 static bool must_join_anew(const struct member_node *n)
 {
-	return lease_is_lost(n) || named_the_dead(n) ||
+	return lease_is_irrecoverable(n) || named_the_dead(n) ||
 	       (n->log_up && n->no_lease_since_ms &&
 		n->now_ms - n->no_lease_since_ms >
 			LEASELESS_LEASES * n->timing.lease_ms);
@@ -173,19 +173,19 @@
 	uint32_t i;
 
 	n->unfit.n = 0;
-	for (i = 0; i < n->vouches->len; i++) {
-		const struct vouch *v =
-			&g_array_index(n->vouches, struct vouch, i);
+	for (i = 0; i < n->own_witnesses->len; i++) {
+		const struct witness_status *v = &g_array_index(
+			n->own_witnesses, struct witness_status, i);
 
 		if (n->unfit.n < FLEET_MAX_WITNESSES &&
-		    n->now_ms - v->sent_ms > n->timing.lease_ms)
+		    n->now_ms - v->request_sent_at_ms > n->timing.lease_ms)
 			n->unfit.id[n->unfit.n++] = v->witness;
 	}
 }
 
 static void propose_join(struct member_node *n)
 {
-	if (n->self && !must_join_anew(n))
+	if (n->self_id && !must_join_anew(n))
 		return;
 	if (!n->want_member || n->resigning || !n->log_caught_up)
 		return;
@@ -201,21 +201,21 @@
 	 * shards. Witnesses that answer late must not revive the old lease
 	 * meanwhile, so the old incarnation ends here, before the append.
 	 */
-	if (n->self) {
+	if (n->self_id) {
 		note_silent_witnesses(n);
 		member_leave_incarnation(n);
 	}
-	assign_witnesses(&n->fleet, &n->me, &n->unfit, newer_than(n),
-			 &n->me.witnesses);
-	g_snprintf(n->me.nonce, sizeof(n->me.nonce), "%08x%08x",
+	assign_witnesses(&n->fleet, &n->join_info, &n->unfit, newer_than(n),
+			 &n->join_info.witnesses);
+	g_snprintf(n->join_info.nonce, sizeof(n->join_info.nonce), "%08x%08x",
 		   g_rand_int(n->rand), g_rand_int(n->rand));
-	member_append(n, APPEND_JOIN, record_join(&n->me));
+	member_append(n, APPEND_JOIN, record_join(&n->join_info));
 }
 
 /* Our place among those who inherit from subject; they act one by one. */
 static int64_t expel_delay_ms(const struct member_node *n, int64_t subject)
 {
-	GArray *heirs = witness_successors(n, subject);
+	GArray *heirs = member_successors(n, subject);
 	uint32_t rank = 0;
 	bool among = false;
 	uint32_t i;
@@ -223,11 +223,11 @@
 	for (i = 0; i < heirs->len; i++) {
 		int64_t id = g_array_index(heirs, int64_t, i);
 
-		among = among || id == n->self;
-		rank += id < n->self;
+		among = among || id == n->self_id;
+		rank += id < n->self_id;
 	}
 	if (!among)
-		rank = heirs->len + assign_rank(&n->fleet, "expel", n->self);
+		rank = heirs->len + assign_rank(&n->fleet, "expel", n->self_id);
 	g_array_unref(heirs);
 	return MIN(rank, 20) * RANK_STEP_MS;
 }
@@ -244,17 +244,17 @@
 	 * While a change to or from the log is not settled, the member may not
 	 * have read of it and serve by its other witnesses alone.
 	 */
-	if (!takeover_set_silent(n, m->id, &m->witnesses) ||
+	if (!takeover_set_allows_expel(n, m->id, &m->witnesses) ||
 	    (m->old_witnesses.n &&
-	     !takeover_set_silent(n, m->id, &m->old_witnesses)))
+	     !takeover_set_allows_expel(n, m->id, &m->old_witnesses)))
 		return false;
-	for (i = 0; i < n->watches->len; i++) {
-		const struct watch *w =
-			&g_array_index(n->watches, struct watch, i);
+	for (i = 0; i < n->witnessed->len; i++) {
+		const struct witnessed_member *w = &g_array_index(
+			n->witnessed, struct witnessed_member, i);
 
 		if (w->subject == m->id)
-			return n->now_ms - w->last_ms >
-			       LOG_WITNESSED_LAPSES * member_wait_ms(n) +
+			return n->now_ms - w->last_request_at_ms >
+			       LOG_WITNESSED_LAPSES * member_lease_wait_ms(n) +
 				       expel_delay_ms(n, m->id);
 	}
 	return false;
@@ -262,12 +262,12 @@
 
 static bool expel_due(const struct member_node *n, const struct member *m)
 {
-	if (m->id == n->self)
+	if (m->id == n->self_id)
 		return n->resigning && holds_handed_over(n);
 	if (log_witnessed_silent(n, m))
 		return true;
-	return takeover_proved(n, m->id) &&
-	       n->now_ms >= takeover_proved_since(n, m->id) +
+	return takeover_stop_proved(n, m->id) &&
+	       n->now_ms >= takeover_last_promise_at_ms(n, m->id) +
 				    expel_delay_ms(n, m->id);
 }
 
@@ -277,17 +277,18 @@
 	struct member *m;
 	uint32_t i;
 
-	if (!n->self || !may_append(n, APPEND_EXPEL))
+	if (!n->self_id || !may_append(n, APPEND_EXPEL))
 		return;
-	if (!n->proofs->len && !n->resigning && !n->watches->len)
+	if (!n->stop_promises->len && !n->resigning && !n->witnessed->len)
 		return;
 	for_each_member (&n->fleet, m, i) {
 		if (!expel_due(n, m))
 			continue;
 		if (!record)
-			record = record_expel(
-				n->self,
-				m->id == n->self ? "resigned" : "lease lapsed");
+			record = record_expel(n->self_id,
+					      m->id == n->self_id
+						      ? "resigned"
+						      : "lease lapsed");
 		record_expel_add(record, m);
 	}
 	if (record)
@@ -302,8 +303,9 @@
 		if (m->witnesses.id[i] != LOG_WITNESS &&
 		    !fleet_member_by_process(&n->fleet, m->witnesses.id[i]))
 			return true;
-	for (i = 0; i < n->vouches->len; i++)
-		if (g_array_index(n->vouches, struct vouch, i).denied)
+	for (i = 0; i < n->own_witnesses->len; i++)
+		if (g_array_index(n->own_witnesses, struct witness_status, i)
+			    .denied)
 			return true;
 	return witness_set_has(&m->witnesses, LOG_WITNESS) &&
 	       fleet_n_members(&n->fleet) > FLEET_WITNESSES;
@@ -321,13 +323,13 @@
 
 static void propose_witnesses(struct member_node *n)
 {
-	const struct member *m = fleet_member(&n->fleet, n->self);
+	const struct member *m = fleet_member(&n->fleet, n->self_id);
 	struct witness_set w;
 
 	if (!m || n->resigning || !lease_valid(n))
 		return;
 	/* The new ones have to vouch before a change is settled. */
-	if (m->old_witnesses.n && lease_may_come_from(n, &m->witnesses))
+	if (m->old_witnesses.n && lease_obtainable_from(n, &m->witnesses))
 		return;
 	if (!witness_unfit(n, m)) {
 		n->next_append_ms[APPEND_WITNESSES] =
@@ -336,11 +338,11 @@
 	}
 	if (!may_append(n, APPEND_WITNESSES))
 		return;
-	assign_witnesses(&n->fleet, m, &n->denied, newer_than(n), &w);
+	assign_witnesses(&n->fleet, m, &n->denied_witnesses, newer_than(n), &w);
 	if (same_set(&w, &m->witnesses))
 		return;
 	member_append(n, APPEND_WITNESSES,
-		      record_witnesses(n->self, m->witness_offset, &w));
+		      record_witnesses(n->self_id, m->witness_offset, &w));
 }
 
 /* The newest offset up to which all that is ours is held by us alone. */
@@ -353,26 +355,26 @@
 
 	*useful = false;
 	if (m->old_witnesses.n) {
-		if (lease_witnesses_applied(n, &m->old_witnesses,
-					    m->witness_offset) &&
-		    lease_by_new_witnesses(n, m) && lease_covers_lent(n, m))
+		if (lease_majority_applied(n, &m->old_witnesses,
+					   m->witness_offset) &&
+		    lease_new_set_vouches(n, m) && lease_new_set_covers(n, m))
 			*useful = true;
 		else
 			upto = MIN(upto, m->witness_offset - 1);
 	}
 	for (i = 0; s && i < n->n_holds; i++)
-		if (s->shards[i].owner == n->self && !holds_cleared(n, i))
+		if (s->shards[i].owner == n->self_id && !holds_cleared(n, i))
 			upto = MIN(upto, s->shards[i].fence - 1);
 	for (i = 0; s && i < n->n_holds; i++)
 		*useful = *useful ||
-			  (s->shards[i].owner == n->self && s->shards[i].from &&
-			   s->shards[i].fence <= upto);
+			  (s->shards[i].owner == n->self_id &&
+			   s->shards[i].from && s->shards[i].fence <= upto);
 	return upto;
 }
 
 static void propose_settle(struct member_node *n)
 {
-	const struct member *m = fleet_member(&n->fleet, n->self);
+	const struct member *m = fleet_member(&n->fleet, n->self_id);
 	bool useful;
 	int64_t upto;
 
@@ -382,15 +384,15 @@
 	 */
 	if (!m || !may_append(n, APPEND_SETTLE) || !lease_valid(n))
 		return;
-	if (m->old_witnesses.n &&
-	    (n->settling == m->witness_offset || lease_by_new_witnesses(n, m)))
+	if (m->old_witnesses.n && (n->settling_offset == m->witness_offset ||
+				   lease_new_set_vouches(n, m)))
 		lease_prepare_settle(n, m);
 	upto = settled_upto(n, m, &useful);
 	if (!useful)
 		return;
 	if (m->old_witnesses.n && m->witness_offset <= upto)
 		n->settle_sent = true;
-	member_append(n, APPEND_SETTLE, record_settle(n->self, upto));
+	member_append(n, APPEND_SETTLE, record_settle(n->self_id, upto));
 }
 
 static bool all_settled(const struct fleet_service *s)
@@ -409,7 +411,7 @@
 	json_t *record;
 	int64_t wait;
 
-	if (!s || !n->self || !lease_valid(n) || n->resigning ||
+	if (!s || !n->self_id || !lease_valid(n) || n->resigning ||
 	    !may_append(n, APPEND_BALANCE))
 		return;
 	n->next_append_ms[APPEND_BALANCE] = n->now_ms + BALANCE_EVERY_MS;
@@ -421,13 +423,13 @@
 		return;
 	}
 	wait = BALANCE_EVERY_MS +
-	       MIN(assign_rank(&n->fleet, s->name, n->self), 20) *
+	       MIN(assign_rank(&n->fleet, s->name, n->self_id), 20) *
 		       BALANCE_RANK_STEP_MS;
 	if (n->now_ms - n->balance_since_ms < wait) {
 		json_decref(record);
 		return;
 	}
-	json_object_set_new(record, "by", json_integer(n->self));
+	json_object_set_new(record, "by", json_integer(n->self_id));
 	member_append(n, APPEND_BALANCE, record);
 }
 
@@ -435,8 +437,9 @@
 {
 	const struct fleet_service *s = member_service(n);
 
-	return s && shard < n->n_holds && s->shards[shard].owner == n->self &&
-	       !s->shards[shard].from && n->holds[shard].state == HOLD_HELD;
+	return s && shard < n->n_holds &&
+	       s->shards[shard].owner == n->self_id && !s->shards[shard].from &&
+	       n->holds[shard].state == HOLD_HELD;
 }
 
 bool member_give(struct member_node *n, int64_t to, const GArray *shards,
@@ -449,10 +452,10 @@
 	uint32_t i;
 
 	n->now_ms = MAX(n->now_ms, now_ms);
-	if (!s || !m || !n->self || n->resigning || !lease_valid(n) ||
+	if (!s || !m || !n->self_id || n->resigning || !lease_valid(n) ||
 	    !may_append(n, APPEND_GIVE))
 		return false;
-	record = record_move(s->name, n->self, "load");
+	record = record_move(s->name, n->self_id, "load");
 	assign_prepare(&n->fleet, s);
 	for (i = 0; i < shards->len; i++) {
 		uint32_t shard = g_array_index(shards, uint32_t, i);
@@ -462,7 +465,7 @@
 			continue;
 		heir = s->shards[shard].successor;
 		if (!heir || heir == to)
-			heir = n->self;
+			heir = n->self_id;
 		record_move_add(record, shard, to, heir,
 				s->shards[shard].fence);
 		n_items++;
@@ -502,7 +505,7 @@
 	/* One that another has begun to write counts as well. */
 	int64_t records = n->fleet.applied -
 			  MAX(n->fleet.snapshot_offset, n->fleet.snapshot_upto);
-	int64_t rank = MIN(assign_rank(&n->fleet, "snapshot", n->self), 20);
+	int64_t rank = MIN(assign_rank(&n->fleet, "snapshot", n->self_id), 20);
 
 	if (records <= 1)
 		return false;
@@ -519,7 +522,7 @@
  */
 static void propose_snapshot(struct member_node *n)
 {
-	if (!n->self || !may_append(n, APPEND_SNAPSHOT))
+	if (!n->self_id || !may_append(n, APPEND_SNAPSHOT))
 		return;
 	/* Another came first, with the same state or a newer one. */
 	if (n->fleet.snapshot_upto >= n->snapshot_cut + n->snapshot_begun)
@@ -548,19 +551,21 @@
 	const struct fleet_service *s = member_service(n);
 	int64_t wait;
 
-	if (!s || !s->key_numbers || !n->self || n->resigning ||
+	if (!s || !s->key_numbers || !n->self_id || n->resigning ||
 	    !any_unowned(s)) {
 		n->unplaced_since_ms = 0;
 		return;
 	}
 	if (!n->unplaced_since_ms)
 		n->unplaced_since_ms = n->now_ms;
-	wait = MIN(assign_rank(&n->fleet, "place", n->self), 20) * RANK_STEP_MS;
+	wait = MIN(assign_rank(&n->fleet, "place", n->self_id), 20) *
+	       RANK_STEP_MS;
 	if (n->now_ms - n->last_join_ms < PLACE_QUIET_MS + wait &&
 	    n->now_ms - n->unplaced_since_ms < PLACE_LATEST_MS + wait)
 		return;
 	if (may_append(n, APPEND_PLACE))
-		member_append(n, APPEND_PLACE, record_place(s->name, n->self));
+		member_append(n, APPEND_PLACE,
+			      record_place(s->name, n->self_id));
 }
 
 /* Work out what leads from the configuration in force to what is published. */
@@ -574,7 +579,7 @@
 	json_decref(n->changes);
 	if (!n->wanted || n->wanted_source != n->published_source) {
 		json_decref(n->wanted);
-		n->wanted = n->ops->published(n->ops_user, from);
+		n->wanted = n->ops->load_published(n->ops_user, from);
 		n->wanted_source = n->published_source;
 	}
 	n->changes = n->wanted ? changes_between(from, n->wanted,
@@ -606,9 +611,9 @@
  */
 static void propose_published(struct member_node *n)
 {
-	int64_t wait =
-		PUBLISH_STRANGER_MS +
-		hash_pair(n->me.host, n->published_source) % PUBLISH_SPREAD_MS;
+	int64_t wait = PUBLISH_STRANGER_MS +
+		       hash_pair(n->join_info.host, n->published_source) %
+			       PUBLISH_SPREAD_MS;
 
 	if (n->published_source <= n->fleet.source) {
 		drop_wanted(n);
@@ -616,8 +621,8 @@
 	}
 	if (!n->log_caught_up || !may_append(n, APPEND_PUBLISHED))
 		return;
-	if (n->self)
-		wait = assign_rank(&n->fleet, "publish", n->self) *
+	if (n->self_id)
+		wait = assign_rank(&n->fleet, "publish", n->self_id) *
 		       publish_step_ms(n);
 	if (n->now_ms - n->published_since_ms < wait)
 		return;
@@ -628,7 +633,7 @@
 		      record_changes(n->fleet.configuration_version,
 				     json_incref(n->changes),
 				     n->published_source, n->changes_whole,
-				     n->self));
+				     n->self_id));
 }
 
 /* Append what this node, by its rank and its state, should append. */
--- a/member/sync.c
+++ b/member/sync.c
@@ -108,7 +108,7 @@
 {
 	struct member_msg msg;
 
-	member_msg_init(&msg, MSG_RECORDS_ASK);
+	member_msg_init(&msg, MSG_RECORDS_REQUEST);
 	msg.offset = n->fleet.applied + 1;
 	member_send(n, peer, &msg);
 }
@@ -154,10 +154,10 @@
 	g_array_set_size(n->followers, 0);
 	g_array_set_size(n->relays, 0);
 	for (place = 0; place < all->len; place++)
-		if (g_array_index(all, int64_t, place) == n->self)
+		if (g_array_index(all, int64_t, place) == n->self_id)
 			break;
-	n->is_reader = n->self && place < FIRST_READERS;
-	n->is_relay = n->self && !n->is_reader && place < all->len;
+	n->is_reader = n->self_id && place < FIRST_READERS;
+	n->is_relay = n->self_id && !n->is_reader && place < all->len;
 	for (i = FIRST_READERS; n->is_reader && i < all->len; i++)
 		g_array_append_val(n->relays, g_array_index(all, int64_t, i));
 	for_each_member (&n->fleet, m, i) {
@@ -188,15 +188,17 @@
 
 bool member_reads_log(const struct member_node *n)
 {
-	return !n->self || n->is_reader || relay_lacks_word(n) ||
-	       member_needs_log(n) || fleet_n_members(&n->fleet) <= FEW_MEMBERS;
+	return !n->self_id || n->is_reader || relay_lacks_word(n) ||
+	       member_lease_needs_log(n) ||
+	       fleet_n_members(&n->fleet) <= FEW_MEMBERS;
 }
 
 bool member_reads_operators(const struct member_node *n)
 {
-	return !n->self || !member_is_current(n) ||
+	return !n->self_id || !member_is_current(n) ||
 	       fleet_n_members(&n->fleet) <= ALL_READ_MEMBERS ||
-	       assign_rank(&n->fleet, "publish", n->self) < N_OPERATOR_READERS;
+	       assign_rank(&n->fleet, "publish", n->self_id) <
+		       N_OPERATOR_READERS;
 }
 
 bool member_is_told(const struct member_node *n)
@@ -273,7 +275,7 @@
 	msg->offset = offset;
 	msg->flags = sender_flags(n);
 	if (hears_of_log(n))
-		msg->flags |= SENDER_READS_LOG;
+		msg->flags |= SENDER_FOLLOWS_LOG;
 	msg->text = records_from(n, offset);
 	/* What is long they read themselves; that there is news is enough. */
 	if (msg->text->len > PASS_ON_MAX_BYTES)
@@ -401,7 +403,7 @@
 		COUNT(records_from_peers);
 	}
 	json_decref(list);
-	if (msg->flags & SENDER_READS_LOG)
+	if (msg->flags & SENDER_FOLLOWS_LOG)
 		n->told_ms = n->now_ms;
 	if (n->is_relay && n->fleet.applied > before)
 		member_pass_on(n, before + 1);
--- a/member/witness.c
+++ b/member/witness.c
@@ -4,14 +4,16 @@
 #include "util/counters.h"
 #include "util/invariant.h"
 
-#define TELL_INTERVAL_MS 500
+#define PROMISE_RESEND_MS 500
 
-static struct watch *find_watch(const struct member_node *n, int64_t subject)
+static struct witnessed_member *find_witnessed(const struct member_node *n,
+					       int64_t subject)
 {
 	uint32_t i;
 
-	for (i = 0; i < n->watches->len; i++) {
-		struct watch *w = &g_array_index(n->watches, struct watch, i);
+	for (i = 0; i < n->witnessed->len; i++) {
+		struct witnessed_member *w = &g_array_index(
+			n->witnessed, struct witnessed_member, i);
 
 		if (w->subject == subject)
 			return w;
@@ -33,13 +35,14 @@
 }
 
 /* Watch those who name us, and forget those who are gone. */
-void witness_refresh(struct member_node *n)
+void witness_update_subjects(struct member_node *n)
 {
 	struct member *m;
 	uint32_t i;
 
-	for (i = n->watches->len; i-- > 0;) {
-		struct watch *w = &g_array_index(n->watches, struct watch, i);
+	for (i = n->witnessed->len; i-- > 0;) {
+		struct witnessed_member *w = &g_array_index(
+			n->witnessed, struct witnessed_member, i);
 
 		m = fleet_member(&n->fleet, w->subject);
 		/*
@@ -47,37 +50,38 @@
 		 * forgotten in between would let us vouch again while somebody
 		 * still holds the promise as proof.
 		 */
-		if (m && w->stopped && rule_on(n, RULE_PROMISE_IS_KEPT))
+		if (m && w->promised && rule_enabled(n, RULE_PROMISE_PERSISTS))
 			continue;
 		if (!m || (!is_witness_of(n, m) && !is_log_witnessed(m)))
-			g_array_remove_index_fast(n->watches, i);
+			g_array_remove_index_fast(n->witnessed, i);
 	}
 	for_each_member (&n->fleet, m, i) {
-		struct watch w = { .subject = m->id, .last_ms = n->now_ms };
+		struct witnessed_member w = { .subject = m->id,
+					      .last_request_at_ms = n->now_ms };
 
-		if (m->process == n->process || find_watch(n, m->id))
+		if (m->process == n->process || find_witnessed(n, m->id))
 			continue;
 		if (is_witness_of(n, m) || is_log_witnessed(m))
-			g_array_append_val(n->watches, w);
+			g_array_append_val(n->witnessed, w);
 	}
 }
 
-static void send_stopped(struct member_node *n, int64_t to, int64_t subject,
-			 int64_t frozen)
+static void send_stop_promise(struct member_node *n, int64_t to,
+			      int64_t subject, int64_t promise_offset)
 {
 	struct member_msg msg;
 
-	if (to == n->self)
+	if (to == n->self_id)
 		return;
-	member_msg_init(&msg, MSG_STOPPED);
+	member_msg_init(&msg, MSG_STOP_PROMISE);
 	msg.flags = n->process;
 	msg.subject = subject;
-	msg.offset = frozen;
+	msg.offset = promise_offset;
 	member_send(n, to, &msg);
 }
 
 /* Those who inherit shards from a member, each once; the caller frees. */
-GArray *witness_successors(const struct member_node *n, int64_t subject)
+GArray *member_successors(const struct member_node *n, int64_t subject)
 {
 	GArray *out = g_array_new(FALSE, FALSE, sizeof(int64_t));
 	const struct member *m = fleet_member(&n->fleet, subject);
@@ -97,45 +101,47 @@
 	return out;
 }
 
-static void tell_stopped(struct member_node *n, struct watch *w)
+static void send_stop_promises(struct member_node *n,
+			       struct witnessed_member *w)
 {
 	const struct member *m = fleet_member(&n->fleet, w->subject);
-	GArray *to = witness_successors(n, w->subject);
+	GArray *to = member_successors(n, w->subject);
 	struct member_msg own;
 	uint32_t i;
 
 	for (i = 0; i < to->len; i++)
-		send_stopped(n, g_array_index(to, int64_t, i), w->subject,
-			     w->frozen);
+		send_stop_promise(n, g_array_index(to, int64_t, i), w->subject,
+				  w->promise_offset);
 	/* The other witnesses see to the record when no successor is left. */
 	for (i = 0; m && i < m->witnesses.n; i++) {
 		const struct member *other =
 			fleet_member_by_process(&n->fleet, m->witnesses.id[i]);
 
 		if (other)
-			send_stopped(n, other->id, w->subject, w->frozen);
+			send_stop_promise(n, other->id, w->subject,
+					  w->promise_offset);
 	}
 	g_array_unref(to);
-	member_msg_init(&own, MSG_STOPPED);
+	member_msg_init(&own, MSG_STOP_PROMISE);
 	own.flags = n->process;
 	own.subject = w->subject;
-	own.offset = w->frozen;
-	takeover_on_stopped(n, &own);
-	w->told_ms = n->now_ms;
+	own.offset = w->promise_offset;
+	takeover_on_promise(n, &own);
+	w->promise_sent_at_ms = n->now_ms;
 }
 
-static void promise_stop(struct member_node *n, struct watch *w)
+static void promise_stop(struct member_node *n, struct witnessed_member *w)
 {
-	w->stopped = true;
+	w->promised = true;
 	/*
 	 * A record that moved the subject's shards may be known to us and not
 	 * to a successor that is cut off from the log. Naming our offset makes
 	 * it catch up to here before it may serve.
 	 */
-	w->frozen = n->fleet.applied;
+	w->promise_offset = n->fleet.applied;
 	COUNT(stops_promised);
 	member_note(n, "promised not to vouch again for", w->subject);
-	tell_stopped(n, w);
+	send_stop_promises(n, w);
 }
 
 /* Promise a stop for each subject whose last vouch has run out. */
@@ -143,49 +149,50 @@
 {
 	uint32_t i;
 
-	for (i = 0; i < n->watches->len; i++) {
-		struct watch *w = &g_array_index(n->watches, struct watch, i);
-		int64_t wait = member_wait_ms(n);
+	for (i = 0; i < n->witnessed->len; i++) {
+		struct witnessed_member *w = &g_array_index(
+			n->witnessed, struct witnessed_member, i);
+		int64_t wait = member_lease_wait_ms(n);
 
 		if (!is_witness_of(n, fleet_member(&n->fleet, w->subject)))
 			continue;
-		if (!rule_on(n, RULE_WITNESS_WAITS))
+		if (!rule_enabled(n, RULE_WITNESS_WAITS))
 			wait = n->timing.vouch_interval_ms + 100;
-		if (!w->stopped && n->now_ms - w->last_ms >= wait)
+		if (!w->promised && n->now_ms - w->last_request_at_ms >= wait)
 			promise_stop(n, w);
-		else if (w->stopped &&
-			 n->now_ms - w->told_ms >= TELL_INTERVAL_MS)
-			tell_stopped(n, w);
+		else if (w->promised &&
+			 n->now_ms - w->promise_sent_at_ms >= PROMISE_RESEND_MS)
+			send_stop_promises(n, w);
 	}
 }
 
 /* A member asks us to vouch. */
-void witness_on_ask(struct member_node *n, const struct member_msg *msg)
+void witness_on_request(struct member_node *n, const struct member_msg *msg)
 {
 	const struct member *m = fleet_member(&n->fleet, msg->from);
-	struct watch *w = find_watch(n, msg->from);
+	struct witnessed_member *w = find_witnessed(n, msg->from);
 	struct member_msg answer;
 
 	if (!m && msg->from <= n->fleet.applied + 1) {
-		send_stopped(n, msg->from, msg->from, n->fleet.applied);
+		send_stop_promise(n, msg->from, msg->from, n->fleet.applied);
 		return;
 	}
 	if (!m || !w)
 		return;
-	if (w->stopped && rule_on(n, RULE_STOP_IS_FINAL)) {
-		send_stopped(n, msg->from, msg->from, w->frozen);
+	if (w->promised && rule_enabled(n, RULE_STOP_IS_FINAL)) {
+		send_stop_promise(n, msg->from, msg->from, w->promise_offset);
 		return;
 	}
-	w->last_ms = n->now_ms;
+	w->last_request_at_ms = n->now_ms;
 	if (!is_witness_of(n, m))
 		return;
 #ifndef RULE_SWITCHES
-	INVARIANT(!w->stopped, "a vouch after the promise to give none");
+	INVARIANT(!w->promised, "a vouch after the promise to give none");
 #endif
 	member_msg_init(&answer, MSG_VOUCH);
-	answer.seq = msg->seq;
+	answer.requested_at_ms = msg->requested_at_ms;
 	answer.flags = n->process;
-	answer.list = g_array_ref(n->stopped);
+	answer.list = g_array_ref(n->stopped_members);
 	member_send(n, msg->from, &answer);
 	member_msg_finish(&answer);
 	COUNT(vouches_given);
@@ -195,11 +202,11 @@
 void witness_on_resign(struct member_node *n, const struct member_msg *msg)
 {
 	const struct member *m = fleet_member(&n->fleet, msg->from);
-	struct watch *w = find_watch(n, msg->from);
+	struct witnessed_member *w = find_witnessed(n, msg->from);
 
 	if (!w || !is_witness_of(n, m))
 		return;
-	if (!w->stopped)
+	if (!w->promised)
 		promise_stop(n, w);
-	send_stopped(n, msg->from, msg->from, w->frozen);
+	send_stop_promise(n, msg->from, msg->from, w->promise_offset);
 }
--- a/node/backend.c
+++ b/node/backend.c
@@ -42,7 +42,7 @@
 		   (gint64)a->born_ms);
 	gate_announce(&n->gate, &b);
 	n->backend_left = false;
-	member_set_life(&n->member, b.life);
+	member_set_server_instance(&n->member, b.life);
 	node_backend_announced(n);
 }
 
@@ -64,7 +64,7 @@
 	if (news == LIFE_NEW) {
 		grants_forget_server(&n->gate.grants);
 		/* What was granted to the life before ended with it. */
-		if (n->member.self)
+		if (n->member.self_id)
 			node_backend_left(n);
 		announced(n, a);
 	} else if (!a->draining && n->backend_left) {
--- a/node/entry-attempt.c
+++ b/node/entry-attempt.c
@@ -30,7 +30,7 @@
 	GByteArray *out;
 	int err;
 
-	if (a->member == e->node->member.self) {
+	if (a->member == e->node->member.self_id) {
 		gate_on_message(&e->node->gate, NULL, 0, m);
 		return RESULT_OK;
 	}
--- a/node/entry-classify.c
+++ b/node/entry-classify.c
@@ -155,7 +155,7 @@
 	}
 	r->version = f->configuration_version;
 	k = match(e, r->http);
-	if (!k && member_has_news(&e->node->member)) {
+	if (!k && member_is_behind(&e->node->member)) {
 		entry_reply_not_run(r, "a newer configuration is on its way\n");
 		return false;
 	}
--- a/node/entry-pick.c
+++ b/node/entry-pick.c
@@ -129,12 +129,12 @@
 	if (r->plan.keyed) {
 		struct fleet_service *s = fleet_service(&n->fleet, r->service);
 
-		count = member_candidates(n, s, r->shard, members,
-					  MAX_CANDIDATES);
+		count = member_owner_candidates(n, s, r->shard, members,
+						MAX_CANDIDATES);
 		put_owner_first(r, &s->shards[r->shard], members, count);
 		return pick_candidate(r, members, count);
 	}
 	count = gates_of_service(r, options);
-	return chooser_pick(&e->chooser, options, count, n->self, except,
+	return chooser_pick(&e->chooser, options, count, n->self_id, except,
 			    clock_now_ms());
 }
--- a/node/entry.c
+++ b/node/entry.c
@@ -315,7 +315,7 @@
 		return;
 	}
 	if (now >= r->plan.deadline_ms) {
-		if (a->member != e->node->member.self &&
+		if (a->member != e->node->member.self_id &&
 		    now - heard > SILENT_LINK_MS)
 			peers_replace(&e->node->peers, a->address);
 		/* A gate that answers others is slow, not silent. */
--- a/node/gate-answer.c
+++ b/node/gate-answer.c
@@ -173,7 +173,7 @@
 			      ",\"connect_ms\":%.0f,\"server_ms\":%.0f"
 			      ",\"bytes\":%" PRId64 ",\"sent_ms\":%" PRId64
 			      ",\"arrived_ms\":%" PRId64,
-			      g->node->member.self, f->status, connect_ms(r),
+			      g->node->member.self_id, f->status, connect_ms(r),
 			      ms, r->total, r->sent_ms, r->arrived_ms);
 		queue_learn_bytes(&g->load.queue, r->class_index, r->total);
 		send_part(r, true);
--- a/node/gate-cut.c
+++ b/node/gate-cut.c
@@ -34,7 +34,7 @@
 	COUNT(gate_set_aside);
 	EVENT(gate_set_aside, r->attempt_id,
 	      "\"member\":%" PRId64 ",\"left_ms\":%" PRId64,
-	      r->gate->node->member.self, r->deadline_ms - clock_now_ms());
+	      r->gate->node->member.self_id, r->deadline_ms - clock_now_ms());
 	gate_leave_link(r);
 	r->state = GATE_CUT;
 	g_ptr_array_add(r->gate->cut, r);
--- a/node/gate-give.c
+++ b/node/gate-give.c
@@ -28,7 +28,7 @@
 		struct gate_view *v;
 		struct balance_other o = { .member = m->id };
 
-		if (m->id == n->self ||
+		if (m->id == n->self_id ||
 		    strcmp(m->service, g->node->settings.service) ||
 		    !fleet_member_takes_work(&n->fleet, m) ||
 		    member_known_stopped(n, m->id))
@@ -48,7 +48,7 @@
 	GArray *shards, *list;
 	int64_t to;
 
-	if (!g->balance.n_shards || !n->self)
+	if (!g->balance.n_shards || !n->self_id)
 		return;
 	balance_tick(&g->balance,
 		     admission_load(&g->load) / MAX(g->load.limit.now, 1.0),
--- a/node/gate-take-back.c
+++ b/node/gate-take-back.c
@@ -41,7 +41,7 @@
 	      "\"member\":%" PRId64 ",\"state\":\"%s\",\"repeatable\":%s"
 	      ",\"age_ms\":%" PRId64 ",\"late_ms\":%" PRId64
 	      ",\"sent_ms\":%" PRId64 ",\"arrived_ms\":%" PRId64,
-	      g->node->member.self, state_name(r->state),
+	      g->node->member.self_id, state_name(r->state),
 	      r->repeatable ? "true" : "false", clock_now_ms() - r->arrived_ms,
 	      late_ms, r->sent_ms, r->arrived_ms);
 	if (r->state == GATE_RUNNING && r->seen_hash && !r->fetch.sent)
--- a/node/gate.c
+++ b/node/gate.c
@@ -295,7 +295,7 @@
 	      ",\"draining\":%s,\"by_server\":%s,\"left_ms\":%" PRId64
 	      ",\"wait_ms\":%" PRId64 ",\"sent_ms\":%" PRId64
 	      ",\"arrived_ms\":%" PRId64,
-	      result_name(result), n->self, r->keyed ? r->shard : -1,
+	      result_name(result), n->self_id, r->keyed ? r->shard : -1,
 	      ours ? "true" : "false",
 	      r->keyed && grants_granted(&g->grants, r->shard, fence, now)
 		      ? "true"
@@ -343,7 +343,7 @@
 	      "\"why\":\"%s\",\"member\":%" PRId64 ",\"server_ms\":%" PRId64
 	      ",\"left_ms\":%" PRId64 ",\"sent_ms\":%" PRId64
 	      ",\"arrived_ms\":%" PRId64,
-	      result_name(result), r->gate->node->member.self,
+	      result_name(result), r->gate->node->member.self_id,
 	      r->started_us ? (clock_now_us() - r->started_us) / 1000 : -1,
 	      r->deadline_ms - clock_now_ms(), r->sent_ms, r->arrived_ms);
 
@@ -453,7 +453,7 @@
 		      ",\"parked_ms\":%" PRId64
 		      ",\"running\":%u,\"left_ms\":%" PRId64
 		      ",\"sent_ms\":%" PRId64 ",\"arrived_ms\":%" PRId64,
-		      g->node->member.self, event_text(g->backend_server.id),
+		      g->node->member.self_id, event_text(g->backend_server.id),
 		      r->keyed ? r->shard : -1, fence, now - r->arrived_ms,
 		      r->parked_ms, g->load.n_running, left_ms, r->sent_ms,
 		      r->arrived_ms);
@@ -583,7 +583,7 @@
 
 	COUNT(gate_received);
 	gate_follow_configuration(g);
-	if (m->to != g->node->member.self || !g->backend_server.announced) {
+	if (m->to != g->node->member.self_id || !g->backend_server.announced) {
 		GBytes *id = identity ? g_bytes_new(identity, len) : NULL;
 
 		COUNT(gate_refused_not_owner);
--- a/node/node.c
+++ b/node/node.c
@@ -27,7 +27,8 @@
 
 bool node_takes_work(const struct node *n)
 {
-	const struct member *m = fleet_member(&n->member.fleet, n->member.self);
+	const struct member *m =
+		fleet_member(&n->member.fleet, n->member.self_id);
 
 	return m && !n->member.resigning && !n->gate.draining &&
 	       fleet_member_takes_work(&n->member.fleet, m);
@@ -164,11 +165,11 @@
 
 	if (!strcmp(what, NOTE_LEASE_GAINED))
 		EVENT(lease_gained, NULL, "\"member\":%" PRId64,
-		      n->member.self);
+		      n->member.self_id);
 	else if (!strcmp(what, NOTE_LEASE_LAPSED))
 		EVENT(lease_lapsed, NULL,
 		      "\"member\":%" PRId64 ",\"ago_ms\":%" PRId64,
-		      n->member.self,
+		      n->member.self_id,
 		      clock_now_ms() - member_lease_end_ms(&n->member));
 	else if (!strcmp(what, NOTE_STOPPED))
 		EVENT(member_stopped, NULL,
@@ -190,7 +191,7 @@
 		      n->member.published_source,
 		      clock_now_ms() - n->started_ms);
 	g_info("member %" G_GINT64_FORMAT ": %s %" G_GINT64_FORMAT,
-	       (gint64)n->member.self, what, (gint64)subject);
+	       (gint64)n->member.self_id, what, (gint64)subject);
 	if (!strcmp(what, NOTE_STOPPED))
 		entry_on_member_stopped(&n->entry, subject);
 }
@@ -201,7 +202,7 @@
 	.in_flight = op_in_flight,
 	.export_ids = op_export_ids,
 	.import_ids = op_import_ids,
-	.published = op_published,
+	.load_published = op_published,
 	.note = op_note,
 };
 
@@ -347,7 +348,7 @@
 	    !n->settings.n_seeds || now < n->next_seed_ms)
 		return;
 	n->next_seed_ms = now + SEED_EVERY_MS;
-	member_msg_init(&msg, MSG_RECORDS_ASK);
+	member_msg_init(&msg, MSG_RECORDS_REQUEST);
 	msg.applied = n->member.fleet.applied;
 	msg.offset = n->member.fleet.applied + 1;
 	out = g_byte_array_new();
@@ -462,7 +463,7 @@
 	if (!n->left_ms)
 		n->left_ms = now;
 	/* Those we vouch for need others first; not for ever, though. */
-	if (member_is_needed(&n->member) && now - n->left_ms < STAY_LIMIT_MS)
+	if (member_is_witness(&n->member) && now - n->left_ms < STAY_LIMIT_MS)
 		return;
 	entry_drain(&n->entry);
 	if (now - n->stopping_ms < notice_ms(n))
@@ -518,7 +519,7 @@
 	if (keeps_backend(n))
 		return;
 	gate_stop_taking(&n->gate);
-	member_set_wanted(&n->member, false, clock_now_ms());
+	member_set_membership_wanted(&n->member, false, clock_now_ms());
 }
 
 static void on_hangup(struct ev_loop *loop, ev_signal *w, int events)
@@ -531,14 +532,14 @@
 void node_backend_announced(struct node *n)
 {
 	if (!n->stopping)
-		member_set_wanted(&n->member, true, clock_now_ms());
+		member_set_membership_wanted(&n->member, true, clock_now_ms());
 }
 
 void node_backend_left(struct node *n)
 {
 	/* Its next heartbeat, if there is one, announces it again. */
 	n->backend_left = true;
-	member_set_wanted(&n->member, false, clock_now_ms());
+	member_set_membership_wanted(&n->member, false, clock_now_ms());
 }
 
 static void fill_member(struct member *m, const struct settings *s)
--- a/node/operator.c
+++ b/node/operator.c
@@ -118,7 +118,7 @@
 			"s:f,s:o,s:o,s:o}",
 			"host", n->settings.host, "data_centre",
 			n->settings.data_centre, "service", n->settings.service,
-			"member", (json_int_t)m->self, "applied",
+			"member", (json_int_t)m->self_id, "applied",
 			(json_int_t)m->fleet.applied, "configuration_version",
 			(json_int_t)m->fleet.configuration_version, "lease",
 			lease > 0, "log_up", log_client_up(&n->log),
--- a/node/read-plan.c
+++ b/node/read-plan.c
@@ -23,9 +23,9 @@
 
 static int64_t wait_ms(const struct member_node *m, int64_t longest_ms)
 {
-	if (!m->self)
+	if (!m->self_id)
 		return WAIT_STRANGER_MS;
-	if (member_needs_log(m))
+	if (member_lease_needs_log(m))
 		return WAIT_AS_WITNESS_MS;
 	if (!member_reads_log(m))
 		return 0;
@@ -34,9 +34,9 @@
 
 static int64_t gather_ms(const struct member_node *m)
 {
-	if (!m->self)
+	if (!m->self_id)
 		return m->want_member ? GATHER_JOINING_MS : GATHER_STRANGER_MS;
-	return member_needs_log(m) ? GATHER_AS_WITNESS_MS : GATHER_MS;
+	return member_lease_needs_log(m) ? GATHER_AS_WITNESS_MS : GATHER_MS;
 }
 
 static int64_t pause_ms(const struct member_node *m)
--- a/node/streams.c
+++ b/node/streams.c
@@ -45,7 +45,8 @@
 
 	while ((state = log_scan_take_snapshot(&n->scan,
 					       n->member.fleet.applied))) {
-		int err = member_load(&n->member, state, clock_now_ms());
+		int err =
+			member_load_snapshot(&n->member, state, clock_now_ms());
 
 		json_decref(state);
 		if (!err) {
@@ -184,7 +185,7 @@
 		EVENT(published, NULL, "\"source\":%" PRId64 ",\"bytes\":%u",
 		      n->published_until, published_bytes(&n->published));
 	}
-	member_published_read(&n->member, clock_now_ms());
+	member_operator_stream_read(&n->member, clock_now_ms());
 }
 
 static void on_published_trimmed(void *user, int64_t first)
@@ -235,8 +236,8 @@
 {
 	const struct member_node *m = &n->member;
 
-	return m->self &&
-	       assign_rank(&m->fleet, "publish", m->self) < N_LOOKOUTS;
+	return m->self_id &&
+	       assign_rank(&m->fleet, "publish", m->self_id) < N_LOOKOUTS;
 }
 
 static void follow_operators(struct node *n)
@@ -321,7 +322,7 @@
 	log_client_init(&n->operators, n->loop, address, &store_operator_ops,
 			&operator_handlers, n);
 	log_client_recover_first(&n->operators);
-	member_expect_published(&n->member);
+	member_expect_operator_stream(&n->member);
 	n->log.name = "fleet";
 	n->operators.name = "operators";
 	n->operators.wait_ms = LOG_WAIT_LONG_MS;
--- a/t/sim-backend.c
+++ b/t/sim-backend.c
@@ -97,11 +97,11 @@
 
 		nd->life_known = b->life;
 		grants_forget_server(&nd->grants);
-		if (m->self)
-			member_set_wanted(m, false, now);
+		if (m->self_id)
+			member_set_membership_wanted(m, false, now);
 		g_snprintf(life, sizeof(life), "life-%u", b->life);
-		member_set_life(m, life);
-		member_set_wanted(m, true, now);
+		member_set_server_instance(m, life);
+		member_set_membership_wanted(m, true, now);
 	}
 	if (service && service->key_numbers)
 		grants_resize(&nd->grants, service->n_shards,
--- a/t/sim-faults.c
+++ b/t/sim-faults.c
@@ -111,9 +111,10 @@
 		break;
 	case 10:
 		if (s->nodes[slot].up && announced(&s->nodes[slot]))
-			member_set_wanted(&s->nodes[slot].member,
-					  !s->nodes[slot].member.want_member,
-					  sim_local(&s->nodes[slot]));
+			member_set_membership_wanted(
+				&s->nodes[slot].member,
+				!s->nodes[slot].member.want_member,
+				sim_local(&s->nodes[slot]));
 		break;
 	case 11:
 		if (sim_has_backend(&s->nodes[slot]))
@@ -141,7 +142,7 @@
 	uint32_t i;
 
 	for_each_member (best, m, i)
-		if (s->nodes[sim_slot_of_host(m->host)].member.self != m->id)
+		if (s->nodes[sim_slot_of_host(m->host)].member.self_id != m->id)
 			record_expel_add(r, m);
 	sim_add_record(s, "", r);
 	json_decref(r);
@@ -165,7 +166,8 @@
 		if (!nd->up)
 			sim_start(s, i);
 		else if (announced(nd))
-			member_set_wanted(&nd->member, true, sim_local(nd));
+			member_set_membership_wanted(&nd->member, true,
+						     sim_local(nd));
 	}
 	sim_configure(s, NULL);
 	sim_run(s, 5000);
@@ -179,7 +181,7 @@
 	int i;
 
 	for (i = 0; i < 5; i++) {
-		id = s->nodes[i].member.self;
+		id = s->nodes[i].member.self_id;
 		if (id != a && id != b && id != c)
 			return id;
 	}
@@ -217,7 +219,7 @@
 		g_print("node %u self %" G_GINT64_FORMAT
 			" applied %" G_GINT64_FORMAT
 			" of %u lease in %" G_GINT64_FORMAT " members %u\n",
-			i, (gint64)n->self, (gint64)n->fleet.applied,
+			i, (gint64)n->self_id, (gint64)n->fleet.applied,
 			s->log->len,
 			(gint64)(member_lease_end_ms(n) - n->now_ms),
 			fleet_n_members(&n->fleet));
--- a/t/sim.c
+++ b/t/sim.c
@@ -122,7 +122,8 @@
 
 	if (sim_has_backend(nd))
 		return ((!nd->grants.heard || !nd->grants.n_shards) &&
-			!(nd->sim->disabled_rules & RULE_SERVER_TELLS_FIRST)) ||
+			!(nd->sim->disabled_rules &
+			  RULE_SERVER_REPORTS_FIRST)) ||
 		       grants_may_hold(&nd->grants, shard, sim_local(nd));
 	return nd->busy_until[shard] > nd->sim->now;
 }
@@ -155,8 +156,8 @@
 	if (nd->sim->verbose)
 		g_print("%7" G_GINT64_FORMAT " node %u (%" G_GINT64_FORMAT
 			") %s %" G_GINT64_FORMAT "\n",
-			(gint64)nd->sim->now, nd->slot, (gint64)nd->member.self,
-			what, (gint64)subject);
+			(gint64)nd->sim->now, nd->slot,
+			(gint64)nd->member.self_id, what, (gint64)subject);
 }
 
 static const struct member_ops ops = {
@@ -165,7 +166,7 @@
 	.in_flight = op_in_flight,
 	.export_ids = op_export,
 	.import_ids = op_import,
-	.published = op_published,
+	.load_published = op_published,
 	.note = op_note,
 };
 
@@ -200,10 +201,10 @@
 	nd->grants.disabled_rules = s->grant_rules;
 	nd->life_known = 0;
 	if (s->granted && !sim_has_backend(nd))
-		member_set_life(&nd->member, "life");
+		member_set_server_instance(&nd->member, "life");
 	/* A server announces itself before its node joins. */
 	if (!sim_has_backend(nd))
-		member_set_wanted(&nd->member, true, sim_local(nd));
+		member_set_membership_wanted(&nd->member, true, sim_local(nd));
 }
 
 /* End the process of a slot at once, as kill -9 does. */
@@ -588,7 +589,7 @@
 	uint32_t i;
 
 	for (i = 0; i < SIM_NODES; i++)
-		if (s->nodes[i].up && s->nodes[i].member.self == member)
+		if (s->nodes[i].up && s->nodes[i].member.self_id == member)
 			return i;
 	return -1;
 }
--- a/t/test-member.c
+++ b/t/test-member.c
@@ -175,7 +175,7 @@
 		if (1u << i == RULE_SUCCESSOR_CATCHES_UP ||
 		    1u << i == RULE_WITNESSES_KNOW_MOVE ||
 		    1u << i == RULE_REQUESTS_END_FIRST ||
-		    1u << i == RULE_PROMISE_IS_KEPT)
+		    1u << i == RULE_PROMISE_PERSISTS)
 			continue;
 		g_autofree char *path = g_strdup_printf(
 			"/member/rule-is-needed/%s", rule_names[i]);
--- a/t/test-readers.c
+++ b/t/test-readers.c
@@ -149,7 +149,7 @@
 	uint32_t i;
 
 	sim_init_granted(&s, 1, 0);
-	member_set_wanted(&s.nodes[0].member, true, 0);
+	member_set_membership_wanted(&s.nodes[0].member, true, 0);
 	read_plan_make(&s.nodes[0].member, 10000, &p);
 	g_assert_cmpint(p.wait_ms, >=, 1000);
 	g_assert_cmpint(p.gather_ms, >=, 1000);
@@ -175,7 +175,7 @@
 	struct sim s;
 
 	start(&s, 2);
-	m = fleet_member(&s.nodes[0].member.fleet, s.nodes[0].member.self);
+	m = fleet_member(&s.nodes[0].member.fleet, s.nodes[0].member.self_id);
 	m->witnesses = log;
 	read_plan_make(&s.nodes[0].member, 10000, &p);
 	g_assert_cmpint(p.wait_ms, <=, 300);
--- a/t/test-recovery.c
+++ b/t/test-recovery.c
@@ -63,7 +63,7 @@
 
 	for (seed = 1; seed <= 10; seed++) {
 		g_assert_cmpuint(heir_forgets(seed, 0), ==, 0);
-		without += heir_forgets(seed, RULE_SERVER_TELLS_FIRST);
+		without += heir_forgets(seed, RULE_SERVER_REPORTS_FIRST);
 	}
 	g_assert_cmpuint(without, >, 0);
 }
@@ -156,8 +156,9 @@
 
 	sim_kill(s, slot);
 	sim_start(s, slot);
-	g_assert_cmpint(member_load(&nd->member, snapshot, sim_local(nd)), ==,
-			RESULT_OK);
+	g_assert_cmpint(member_load_snapshot(&nd->member, snapshot,
+					     sim_local(nd)),
+			==, RESULT_OK);
 	json_decref(snapshot);
 	nd->backend.next_beat = s->now;
 }
@@ -199,7 +200,7 @@
 
 	for (seed = 1; seed <= 10; seed++) {
 		g_assert_cmpuint(unknown_past(seed, 0), ==, 0);
-		without += unknown_past(seed, RULE_PAST_IS_WAITED_OUT);
+		without += unknown_past(seed, RULE_WAIT_AFTER_START);
 	}
 	g_assert_cmpuint(without, >, 0);
 }
--- a/t/test-schedules.c
+++ b/t/test-schedules.c
@@ -71,7 +71,7 @@
 	b = sv->shards[i].successor;
 	m = fleet_member(sim_newest(&s), a);
 	for (j = 0; j < 5; j++) {
-		int64_t id = s.nodes[j].member.self;
+		int64_t id = s.nodes[j].member.self_id;
 
 		if (id != a && id != b &&
 		    !witness_set_has(&m->witnesses, s.nodes[j].member.process))
@@ -132,8 +132,9 @@
 	b = sv->shards[0].successor;
 	m = fleet_member(sim_newest(&s), a);
 	for (j = 0; j < 5; j++)
-		if (s.nodes[j].member.self != a && s.nodes[j].member.self != b)
-			c = s.nodes[j].member.self;
+		if (s.nodes[j].member.self_id != a &&
+		    s.nodes[j].member.self_id != b)
+			c = s.nodes[j].member.self_id;
 	for (j = 0; j < m->witnesses.n; j++)
 		put_behind(&s, m->witnesses.id[j]);
 	s.nodes[sim_slot(&s, b)].behind_until = s.now + 20000;
@@ -245,7 +246,7 @@
 	record_expel_add(r, fleet_member(sim_newest(&s), c));
 	sim_kill(&s, sim_slot(&s, c));
 	sim_append(&s, r);
-	na->quiet_until_ms = na->now_ms + 6000;
+	na->no_acquire_until_ms = na->now_ms + 6000;
 	for (end = s.now + 3000; s.now < end;) {
 		sim_step(&s);
 		sv = fleet_service(sim_newest(&s), "records");
@@ -306,8 +307,9 @@
 		c = sim_other_member(&s, a, heir, b);
 		s.nodes[sim_slot(&s, b)].log_cut = true;
 		move_and_serve(&s, b, c);
-		sim_configure(&s,
-			      s.nodes[sim_slot(&s, c)].member.me.data_centre);
+		sim_configure(
+			&s,
+			s.nodes[sim_slot(&s, c)].member.join_info.data_centre);
 		sim_run(&s, 1000);
 		s.nodes[sim_slot(&s, b)].log_cut = false;
 		sim_run(&s, 20000);
@@ -342,8 +344,8 @@
 	int a;
 
 	start_quietly(&s, seed, rules);
-	a = s.nodes[0].member.self ? 0 : 1;
-	id = s.nodes[a].member.self;
+	a = s.nodes[0].member.self_id ? 0 : 1;
+	id = s.nodes[a].member.self_id;
 	m = *fleet_member(sim_newest(&s), id);
 	memcpy(v, m.witnesses.id, sizeof(v));
 	for (i = 0, spare = 0; i < SIM_NODES && !spare; i++) {
@@ -392,7 +394,7 @@
 		int64_t id, ids[3];
 
 		start_quietly(&s, seed, 0);
-		id = s.nodes[0].member.self;
+		id = s.nodes[0].member.self_id;
 		m = fleet_member(sim_newest(&s), id);
 		other_witnesses(&s, m, ids);
 		sim_kill(&s, sim_slot_of_process(&s, ids[0]));
@@ -429,7 +431,7 @@
 
 		start_quietly(&s, seed, 0);
 		lapses = counters[COUNTER_lease_lapses];
-		m = *fleet_member(sim_newest(&s), s.nodes[0].member.self);
+		m = *fleet_member(sim_newest(&s), s.nodes[0].member.self_id);
 		other_witnesses(&s, &m, ids);
 		set_witnesses(&s, &m, ids);
 		m = *fleet_member(sim_newest(&s), m.id);
@@ -467,13 +469,13 @@
 	uint32_t i, n = 0;
 
 	start_quietly(&s, seed, rules);
-	m = *fleet_member(sim_newest(&s), s.nodes[4].member.self);
+	m = *fleet_member(sim_newest(&s), s.nodes[4].member.self_id);
 	sv = fleet_service(sim_newest(&s), "records");
 	for (i = 0; i < sv->n_shards; i++)
 		if (sv->shards[i].owner == m.id)
 			heir = sv->shards[i].successor;
 	for (i = 0; i < 4; i++)
-		if (s.nodes[i].member.self != heir && n < 3)
+		if (s.nodes[i].member.self_id != heir && n < 3)
 			old[n++] = process_of(&s, i);
 	set_witnesses(&s, &m, old);
 	m = *fleet_member(sim_newest(&s), m.id);
@@ -532,14 +534,14 @@
 
 		start_quietly(&s, seed, 0);
 		n = &s.nodes[4].member;
-		m = fleet_member(sim_newest(&s), n->self);
-		sim_append(&s,
-			   record_witnesses(n->self, m->witness_offset, &log));
+		m = fleet_member(sim_newest(&s), n->self_id);
+		sim_append(&s, record_witnesses(n->self_id, m->witness_offset,
+						&log));
 		for (end = s.now + 10000; s.now < end;) {
 			seen = s.log->len;
 			longest = MAX(longest, member_lease_end_ms(n));
 			sim_step(&s);
-			m = fleet_member(&n->fleet, n->self);
+			m = fleet_member(&n->fleet, n->self_id);
 			g_assert_nonnull(m);
 			if (s.log->len == seen || !settles(&s, m->id) ||
 			    !witness_set_has(&m->old_witnesses, LOG_WITNESS))
@@ -565,7 +567,7 @@
 
 	for (seed = 1; seed <= 20; seed++) {
 		g_assert_cmpuint(returning_witness(seed, 0), ==, 0);
-		without += returning_witness(seed, RULE_PROMISE_IS_KEPT);
+		without += returning_witness(seed, RULE_PROMISE_PERSISTS);
 	}
 	g_assert_cmpuint(without, >, 0);
 }
@@ -587,7 +589,7 @@
 	start_quietly(&s, 3, 0);
 	slot = sim_server(&s, shard);
 	n = &s.nodes[slot].member;
-	to = s.nodes[(slot + 1) % 5].member.self;
+	to = s.nodes[(slot + 1) % 5].member.self_id;
 	g_array_append_val(shards, shard);
 	g_assert_true(member_may_give(n, shard));
 	g_assert_true(member_give(n, to, shards, n->now_ms));
@@ -617,7 +619,7 @@
 	json_object_set_new(doc, "source", json_integer(1));
 	s.published = doc;
 	for (i = 0; i < SIM_NODES; i++) {
-		rank = assign_rank(f, "publish", s.nodes[i].member.self);
+		rank = assign_rank(f, "publish", s.nodes[i].member.self_id);
 		if (rank < 3)
 			sim_kill(&s, i);
 	}
@@ -733,7 +735,7 @@
 	changes = changes_between(f->document, doc, 192 * 1024, &whole);
 	g_assert_false(whole);
 	r = record_changes(f->configuration_version, changes, 11, whole,
-			   n->self);
+			   n->self_id);
 	n->append_pending[APPEND_PUBLISHED] = true;
 	member_on_record(n, f->applied + 1, "1-x", r, n->now_ms);
 	member_append_done(n, APPEND_PUBLISHED, RESULT_OK, n->now_ms);
@@ -762,7 +764,7 @@
 
 		start_quietly(&s, seed, 0);
 		slot = sim_server(&s, 0);
-		id = s.nodes[slot].member.self;
+		id = s.nodes[slot].member.self_id;
 		m = fleet_member(sim_newest(&s), id);
 		s.nodes[slot].behind_until = s.now + 20000;
 		sim_append(&s, record_witnesses(id, m->witness_offset, &log));
--- a/t/test-start.c
+++ b/t/test-start.c
@@ -26,7 +26,7 @@
 	struct member *m;
 	uint32_t i;
 
-	member_msg_init(&msg, MSG_RECORDS_ASK);
+	member_msg_init(&msg, MSG_RECORDS_REQUEST);
 	for_each_member (&nd->member.fleet, m, i)
 		if (sim_slot_of_host(m->host) == (int)slot)
 			msg.from = m->id;
@@ -166,7 +166,7 @@
 	g_assert_true(sim_converge(&s, 20000));
 	for (i = 0; i < SIM_NODES; i++)
 		if (!assign_rank(&s.nodes[i].member.fleet, "snapshot",
-				 s.nodes[i].member.self))
+				 s.nodes[i].member.self_id))
 			s.nodes[i].log_cut = true;
 	for (i = 0; i < 2 * RING; i++) {
 		const struct fleet *f = sim_newest(&s);
@@ -197,8 +197,8 @@
 	state = fleet_snapshot(sim_newest(&s));
 	sim_kill(&s, 1);
 	sim_start(&s, 1);
-	g_assert_cmpint(member_load(&s.nodes[1].member, state,
-				    sim_local(&s.nodes[1])),
+	g_assert_cmpint(member_load_snapshot(&s.nodes[1].member, state,
+					     sim_local(&s.nodes[1])),
 			==, RESULT_OK);
 	json_decref(state);
 	f = &s.nodes[1].member.fleet;
@@ -358,11 +358,11 @@
 	}
 	g_assert_cmpuint(fleet_n_members(&n->fleet), >, 100);
 	for_each_member (&n->fleet, m, i) {
-		n->self = m->id;
+		n->self_id = m->id;
 		readers += member_reads_operators(n);
 	}
 	g_assert_cmpuint(readers, ==, 12);
-	n->self = 0;
+	n->self_id = 0;
 	g_assert_true(member_reads_operators(n));
 	sim_finish(&s);
 }
