--- a/member/internal.h
+++ b/member/internal.h
@@ -3,8 +3,9 @@
 
 #include "member/member.h"
 
-/* Shared between the files of member/ only. */
+/* Declarations shared between the files of member/ only. */
 
+/* Whether a safety rule applies. Tests built with RULE_SWITCHES disable some. */
 static inline bool rule_enabled(const struct member_node *n,
 				enum member_rule rule)
 {
@@ -17,7 +18,10 @@
 #endif
 }
 
-/* How long a witness waits so that any lease it vouched for has ended. */
+/*
+ * How long after its last vouch a witness waits until the lease that rests on
+ * it has ended, whatever the difference of the two clocks.
+ */
 static inline int64_t member_lease_wait_ms(const struct member_node *n)
 {
 	int64_t ms = n->timing.lease_ms;
@@ -25,7 +29,7 @@
 	return ms + ms * 3 * n->timing.drift_ppm / 1000000 + 1;
 }
 
-/* Whether an array of int64_t holds id. */
+/* Whether an array of int64_t contains id. */
 static inline bool ids_contain(const GArray *ids, int64_t id)
 {
 	uint32_t i;
--- a/member/member.h
+++ b/member/member.h
@@ -9,20 +9,30 @@
 #include "state/fleet.h"
 
 /*
- * What makes a node the one owner of its shards: a lease that witnesses vouch
- * for, promises given as a witness, takeover with proof, release on planned
- * moves, and proposals to the log. No input or output and no clock: time and
- * events come in as arguments, and what is to be done goes out through a table
- * of functions. All times are milliseconds of CLOCK_BOOTTIME.
+ * Membership of a node in the fleet, and the rules that give each shard at most
+ * one owner at a time:
+ *
+ * - A member serves only while it has a lease. It sends vouch requests to its
+ *   witnesses, which are other members, or the log in a small fleet. Each vouch
+ *   extends the lease, which needs vouches of a majority of the witnesses.
+ * - A witness that got no request for longer than a lease promises never to
+ *   vouch for that member again. The promises of a majority prove that the
+ *   member has stopped, and its successors then take its shards over.
+ * - In a planned move the previous owner releases the shard first.
+ * - Changes of state are proposed as records of the log.
+ *
+ * The module does no input or output and reads no clock: time and events are
+ * arguments, and actions go through struct member_ops. All times are
+ * milliseconds of CLOCK_BOOTTIME.
  */
 
 struct member_timing {
 	int64_t lease_ms; /* how long a vouch lasts */
-	int64_t vouch_interval_ms;
-	int64_t drift_ppm; /* bound on how much two clocks differ */
+	int64_t vouch_interval_ms; /* between vouch requests to a witness */
+	int64_t drift_ppm; /* bound on the difference of two clocks' rates */
 	int64_t snapshot_interval_ms;
-	uint32_t snapshot_records; /* records after which a new one is due */
-	uint32_t move_batch; /* shards one balancing record moves */
+	uint32_t snapshot_records; /* records after which a snapshot is due */
+	uint32_t move_batch; /* maximum of shards in one balancing record */
 };
 
 #define MEMBER_TIMING_DEFAULT                                       \
@@ -78,33 +88,35 @@
 	int64_t since_ms; /* 0: none waits */
 };
 
-/* Our side of one witness of ours. */
+/* What a member knows of one of its witnesses. */
 struct witness_status {
-	int64_t witness; /* its process */
-	int64_t member; /* the member that the process was last */
-	int64_t request_sent_at_ms; /* sending time of the newest ask it
-				       answered */
-	int64_t applied; /* newest offset it reported */
+	int64_t witness; /* process id */
+	int64_t member; /* newest member id of that process, 0 unknown */
+	/* When the newest request that the witness vouched for was sent. */
+	int64_t request_sent_at_ms;
+	int64_t applied; /* highest applied offset it reported, -1 none */
 	bool denied; /* it has promised not to vouch again */
 };
 
-/* What we watch as a witness of somebody. */
+/* What a witness knows of a member that it vouches for. */
 struct witnessed_member {
-	int64_t subject;
+	int64_t subject; /* member id */
+	/* Last vouch request, or later end of a pause of this node. */
 	int64_t last_request_at_ms;
-	int64_t promise_sent_at_ms; /* when we last told others of the stop */
-	int64_t promise_offset; /* our applied offset at the promise */
-	bool promised;
+	int64_t promise_sent_at_ms; /* when the promise was last sent */
+	int64_t promise_offset; /* applied offset when it was made */
+	bool promised; /* this node will not vouch for it again */
 };
 
-/* A witness's promise about subject, received. */
+/* A received promise of a witness not to vouch for a member again. */
 struct stop_promise {
-	int64_t subject;
-	int64_t witness; /* its process */
-	int64_t promise_offset;
+	int64_t subject; /* member id */
+	int64_t witness; /* process id */
+	int64_t promise_offset; /* applied offset of the witness */
 	int64_t received_at_ms;
 };
 
+/* Kinds of records that a node appends, at most one of each at a time. */
 enum append_kind {
 	APPEND_JOIN,
 	APPEND_EXPEL,
@@ -125,35 +137,53 @@
 	char *text;
 };
 
-/* What member_ops.note says of a member found to have stopped. */
+/*
+ * Texts that member_ops.note is called with; the subject is a member id unless
+ * stated.
+ */
+/* The subject is proved to have stopped, or a witness reported so. */
 #define NOTE_STOPPED "known to have stopped"
-/* What it says, every few seconds, of a shard whose move is not settled. */
+/* Repeated every few seconds. The subject is the shard. */
 #define NOTE_UNSETTLED "move not settled of shard"
-/* And of our own lease. */
+/* The subject is this node. */
 #define NOTE_LEASE_GAINED "lease gained"
 #define NOTE_LEASE_LAPSED "lease lapsed"
-/* And when the state is level for the first time: with a peer, or LOG_WITNESS. */
+/*
+ * The state is caught up for the first time. The subject is the peer, or
+ * LOG_WITNESS when the log's end was read.
+ */
 #define NOTE_CAUGHT_UP "caught up with"
-/* And when it has been current, by the log. */
+/*
+ * Everything that operators had published is in force, as read from the log.
+ * The subject is the configuration version.
+ */
 #define NOTE_CURRENT "current"
 
 struct member_ops {
-	/* Send to a member; takes nothing over. */
+	/* Send to a member. The message remains the sender's to free. */
 	void (*send)(void *user, int64_t to, const struct member_msg *msg);
-	/* Append, answered later by member_append_done(); steals record. */
+	/*
+	 * Append to the log; takes ownership of record. The result is passed
+	 * to member_append_done().
+	 */
 	void (*append)(void *user, enum append_kind kind, json_t *record);
-	/* Requests in flight on a shard of this node's service. */
+	/* Number of requests in flight on a shard of this node's service. */
 	uint32_t (*in_flight)(void *user, uint32_t shard);
-	/* Ids seen on a shard: four numbers an entry. */
+	/*
+	 * Append the request ids seen on a shard to out, four numbers (int64_t)
+	 * an entry; import_ids takes one entry. See struct seen_id in
+	 * gate/ids.h.
+	 */
 	void (*export_ids)(void *user, uint32_t shard, GArray *out);
 	void (*import_ids)(void *user, const int64_t *entry);
 	/*
-	 * What operators published elsewhere, whole, as a new reference to a
-	 * configuration document. Where its configuration cannot be used, or is
-	 * older, that of the one in force; NULL when there is none.
+	 * Return a new reference to the complete document that operators
+	 * published in a stream of their own, or NULL when there is none. If
+	 * its configuration is invalid or older than the one in force, the
+	 * document has the configuration in force instead.
 	 */
 	json_t *(*load_published)(void *user, const json_t *in_force);
-	/* A change of state worth a log line. */
+	/* Log a change of state: one of NOTE_*, or any other text. */
 	void (*note)(void *user, const char *what, int64_t subject);
 };
 
@@ -162,45 +192,51 @@
 	struct member_timing timing;
 	const struct member_ops *ops;
 	void *ops_user;
-	struct member join_info; /* how we join; id unused */
+	struct member join_info; /* content of our join record; id unused */
 	GRand *rand;
 	int64_t now_ms;
-	int64_t self_id; /* our member id, 0 while not a member */
+	int64_t self_id; /* our member id, 0 not a member */
 	int64_t process; /* id of our first membership, 0 never a member */
-	bool want_member;
-	bool resigning; /* no new work; leave when what runs has ended */
-	bool log_caught_up; /* we have read to the log's end once */
-	bool log_up; /* the last read succeeded; the caller keeps this */
-	int64_t initial_log_end; /* how far the log went when we first read it */
-	int64_t settling_offset; /* the change of witnesses we last settled, or
-				    may */
-	bool settle_sent; /* the record of it */
-	int64_t settle_lease_until_ms; /* the lease's end when both sets began
-					to count */
-	bool ever_leased; /* we have had a lease in this incarnation */
+	bool want_member; /* the node should be a member */
+	bool resigning; /* no new work; leaves when no request is in flight */
+	bool log_caught_up; /* has read to the log's end at least once */
+	bool log_up; /* the last read succeeded; set by the caller */
+	int64_t initial_log_end; /* the log's end when first read */
+	/*
+	 * Offset of the record that changed our witnesses, from when both the
+	 * old and the new set have to vouch until that change is settled; see
+	 * lease_prepare_settle(). 0 none.
+	 */
+	int64_t settling_offset;
+	bool settle_sent; /* the record that settles it was appended */
+	int64_t settle_lease_until_ms; /* lease end when both became needed */
+	bool ever_leased; /* has had a lease in this incarnation */
 	int64_t joined_at_ms; /* when this incarnation began */
-	bool peer_caught_up; /* we have had all that a current peer had once */
-	bool operator_stream_pending; /* the operators' stream is still to be
-					 read */
-	int64_t required_source_offset; /* what it held then, to be in force
-					   first */
-	bool published_in_force; /* and it has been, with the log's end read */
-	bool had_lease;
+	bool peer_caught_up; /* has once had all records of a current peer */
+	bool operator_stream_pending; /* not yet read to its end */
+	/* Where the operators' stream ended when first read to its end. */
+	int64_t required_source_offset;
+	bool published_in_force; /* all up to there is, and log_caught_up */
+	bool had_lease; /* had one at the last tick */
 	int64_t no_lease_since_ms; /* 0 while there is one */
 	struct witness_set unfit; /* witnesses that did not answer us */
-	struct witness_set
-		denied_witnesses; /* witnesses that vouch for us no more */
+	/* Witnesses that promised not to vouch for us again. */
+	struct witness_set denied_witnesses;
 	int64_t last_tick_at_ms;
-	int64_t log_read_started_at_ms; /* start of the last read up to the tail
-					 */
-	int64_t no_acquire_until_ms; /* no shard is acquired before */
+	/* Start of the last read that reached the log's end. */
+	int64_t log_read_started_at_ms;
+	/*
+	 * Shards are not acquired before, unless their predecessors can be
+	 * asked.
+	 */
+	int64_t no_acquire_until_ms;
 	int64_t next_vouch_request_at_ms;
 	int64_t next_join_ms;
 	int64_t next_ask_ms;
 	int64_t next_resign_at_ms;
 	int64_t next_unsettled_ms; /* when an unsettled move is noted again */
 	GArray *handed; /* int64_t heirs that have our ids */
-	/* int64_t earlier incarnations of this host, seen to go */
+	/* int64_t ids of this host's earlier members, seen to be removed */
 	GArray *earlier_incarnations;
 	int64_t handed_over_ms; /* first told our heirs that we leave; 0 not */
 	int64_t behind_since_ms; /* a peer is known to be ahead; 0 not */
@@ -230,7 +266,7 @@
 	GArray *own_witnesses; /* struct witness_status */
 	GArray *witnessed; /* struct witnessed_member */
 	GArray *stop_promises; /* struct stop_promise */
-	GArray *stopped_members; /* int64_t ids known to have stopped */
+	GArray *stopped_members; /* int64_t ids */
 	struct hold *holds; /* by shard of our service */
 	uint32_t n_holds;
 	GQueue *cache; /* struct cached_record, newest last */
@@ -246,14 +282,15 @@
 	int64_t next_relay_word_ms; /* when we send such a word to relays */
 	int64_t next_follower_word_ms; /* and when to followers */
 	GArray *releases; /* int64_t shards released since last told */
-	uint32_t disabled_rules; /* tests only */
-	fleet_event_fn on_event; /* audit */
+	uint32_t disabled_rules; /* enum member_rule, tests only */
+	fleet_event_fn on_event; /* for the audit; may be NULL */
 	void *on_event_user;
 };
 
 /*
- * Set up on memory that the caller owns. me tells how to join; seed makes the
- * jitter repeatable.
+ * Initialise n, whose memory the caller owns. join_info is what the join record
+ * says of this node; seed makes the jitter repeatable. ops and ops_user must
+ * outlive n.
  */
 void member_init(struct member_node *n, const struct member *join_info,
 		 const struct member_timing *timing,
@@ -261,19 +298,19 @@
 		 uint32_t seed);
 void member_finish(struct member_node *n);
 
-/* Run every timed duty that is due; call at least every 100 ms. */
+/* Do all timed work that is due; call at least every 100 ms. */
 void member_tick(struct member_node *n, int64_t now_ms);
 
-/* Handle a message; records and states in it are applied. */
+/* Handle a received message; records and states in it are applied. */
 void member_on_message(struct member_node *n, const struct member_msg *msg,
 		       int64_t now_ms);
 
-/* Apply the next record read from the log; results as fleet_apply(). */
+/* Apply the next record read from the log. Returns as fleet_apply(). */
 int member_on_record(struct member_node *n, int64_t offset,
 		     const char *append_id, const json_t *record,
 		     int64_t now_ms);
 
-/* A read that began at sent_ms showed us to be at the log's end. */
+/* A read of the log that began at read_started_at_ms reached its end. */
 void member_on_log_tail(struct member_node *n, int64_t read_started_at_ms,
 			int64_t now_ms);
 
@@ -288,25 +325,29 @@
  */
 bool member_append_may_follow(enum append_kind kind);
 
-/* Ask to be a member, or to leave once what runs has ended. */
+/*
+ * Set whether the node should be a member. When not, it leaves once no request
+ * is in flight.
+ */
 void member_set_membership_wanted(struct member_node *n, bool wanted,
 				  int64_t now_ms);
 
 /*
- * Operators published something in a stream of their own, read up to source and
- * that long; members bring it into the log in turn, and only who does need look
- * at it.
+ * Operators published a change in a stream of their own, which has been read up
+ * to offset source; bytes is the length of the document. One member after the
+ * other may propose it to the log, so that only the proposer has to load it.
  */
 void member_set_published(struct member_node *n, int64_t source, uint32_t bytes,
 			  int64_t now_ms);
 
 /*
- * Operators publish in a stream of their own, which is still to be read; call
- * before the first tick.
+ * Operators publish in a stream of their own, which has not been read yet.
+ * Until member_operator_stream_read() the log alone does not make the state
+ * current. Call before the first tick.
  */
 void member_expect_operator_stream(struct member_node *n);
 
-/* That stream has been read to its end. */
+/* The operators' stream has been read to its end. */
 void member_operator_stream_read(struct member_node *n, int64_t now_ms);
 
 /*
@@ -319,28 +360,32 @@
 /* Whether a shard is ours, served and settled, so that it may be given. */
 bool member_may_give(const struct member_node *n, uint32_t shard);
 
-/* Name the life of our backend server, before asking to be a member. */
+/*
+ * Set the id of the backend server instance beside this node. Call before
+ * member_set_membership_wanted().
+ */
 void member_set_server_instance(struct member_node *n, const char *life);
 
-/* Replace the state by a snapshot from the log; results as fleet_load(). */
+/* Replace the state by a snapshot from the log. Returns as fleet_load(). */
 int member_load_snapshot(struct member_node *n, const json_t *snapshot,
 			 int64_t now_ms);
 
 /*
- * Whether the state has been brought level since the start, with the log or
- * with a peer. Until then it may be far behind what is agreed.
+ * Whether the state has caught up, with the log or with a peer, at least once
+ * since the start. Until then it may lack many records of the log.
  */
 bool member_is_caught_up(const struct member_node *n);
 
 /*
- * Whether besides all that operators had published by then has been in force
- * here. Until then callers may be told what holds no more.
+ * Whether, in addition, all that operators had published by then has been in
+ * force here. Until then a caller may get answers by an outdated configuration.
  */
 bool member_is_current(const struct member_node *n);
 
 /*
- * Whether there is something newer than what is applied here, by the operators'
- * stream or by what peers say: a class that none matches may be in it.
+ * Whether the operators' stream or a peer has something newer than what is
+ * applied here. A request that matches no class may match one in the newer
+ * configuration.
  */
 bool member_is_behind(const struct member_node *n);
 
@@ -363,10 +408,16 @@
 /* Records from an offset on were read from the log: pass them on. */
 void member_pass_on(struct member_node *n, int64_t offset);
 
-/* Whether our lease rests on reads of the log. */
+/*
+ * Whether the lease depends on reads of the log, since the log is a witness.
+ * Also true while the node is not a member.
+ */
 bool member_lease_needs_log(const struct member_node *n);
 
-/* End of our lease on our clock; in the past when we have none. */
+/*
+ * End of this node's lease on its own clock; in the past, or 0, when it has
+ * none.
+ */
 int64_t member_lease_end_ms(const struct member_node *n);
 
 /*
@@ -402,42 +453,64 @@
 bool member_known_stopped(const struct member_node *n, int64_t id);
 
 /*
- * Fill up to max candidates, best first, for who serves a shard; returns how
- * many. The gates decide; this is where an entry should try.
+ * Write to out the ids of up to max members that may serve a shard, the most
+ * likely first. Returns their number. An entry tries them in this order; each
+ * gate checks for itself whether it may serve.
  */
 uint32_t member_owner_candidates(const struct member_node *n,
 				 const struct fleet_service *s, uint32_t shard,
 				 int64_t *out, uint32_t max);
 
 /*
- * Whether some member still names this process as its witness. A process that
- * is to stop should stay until none does, or it takes a vouch from each.
+ * Whether another member names this process as its witness. A process that
+ * stops earlier leaves each such member with one vouch fewer, so it should run
+ * until there is none.
  */
 bool member_is_witness(const struct member_node *n);
 
-/* Whether all of our shards are given up, when resigning. */
+/*
+ * Whether this node is not a member, or has resigned: it serves no shard and
+ * its witnesses have promised not to vouch for it again.
+ */
 bool member_has_left(const struct member_node *n);
 
 /*
- * The safety rules, one bit each. The randomised test builds this library
- * with RULE_SWITCHES and turns each off to see that it catches the breach.
+ * The safety rules, one bit each. The randomised test builds this library with
+ * RULE_SWITCHES and disables each rule in turn, to check that the test detects
+ * the violation.
  */
 enum member_rule {
+	/* A lease counts from when the vouch request was sent. */
 	RULE_LEASE_FROM_SENDING = 1 << 0,
+	/* A witness makes its promise only after the lease has ended. */
 	RULE_WITNESS_WAITS = 1 << 1,
+	/* A witness that made its promise does not vouch again. */
 	RULE_STOP_IS_FINAL = 1 << 2,
+	/* A lease and a takeover need a majority of the witnesses. */
 	RULE_MAJORITY = 1 << 3,
+	/* A successor first applies all that the witnesses had applied. */
 	RULE_SUCCESSOR_CATCHES_UP = 1 << 4,
+	/* A shard is acquired only after its predecessors released it. */
 	RULE_RELEASE_BEFORE_HOLD = 1 << 5,
+	/* A moved shard is released only after the witnesses applied that. */
 	RULE_WITNESSES_KNOW_MOVE = 1 << 6,
+	/* Replaced witnesses count until the change is settled. */
 	RULE_OLD_WITNESSES_COUNT = 1 << 7,
+	/* A shard of a restarted member is not acquired for a lease's length. */
 	RULE_RESTART_WAITS = 1 << 8,
+	/* The same if the removed member had the log as a witness. */
 	RULE_LOG_WITNESS_WAIT = 1 << 9,
+	/* A promise lasts though the member replaced the witness meanwhile. */
 	RULE_PROMISE_PERSISTS = 1 << 10,
+	/* A shard is released only after its requests in flight have ended. */
 	RULE_REQUESTS_END_FIRST = 1 << 11,
+	/* After a start, shards whose predecessors cannot be asked must wait. */
 	RULE_WAIT_AFTER_START = 1 << 12,
+	/* No shard is released before the backend server reported its grants. */
 	RULE_SERVER_REPORTS_FIRST = 1 << 13,
+	/* A newer fence is used only after the witnesses applied its record. */
 	RULE_WITNESSES_KNOW_FENCE = 1 << 14,
+	/* New witnesses count once the settling of their change begins. */
 	RULE_NEW_WITNESSES_COUNT = 1 << 15,
 	N_MEMBER_RULES = 16,
 };
