--- a/member/msg.c
+++ b/member/msg.c
@@ -6,14 +6,12 @@
 
 #define N_FIELDS 11
 
-/* Set up a message of one type with no lists or text. */
 void member_msg_init(struct member_msg *msg, enum member_msg_type type)
 {
 	memset(msg, 0, sizeof(*msg));
 	msg->type = type;
 }
 
-/* Release the lists and the text. */
 void member_msg_finish(struct member_msg *msg)
 {
 	if (msg->list)
