--- a/member/lease.c
+++ b/member/lease.c
@@ -18,6 +18,7 @@
 	return NULL;
 }
 
+/* Add an entry for each witness in w that has none. */
 static void add_missing_witnesses(struct member_node *n,
 				  const struct witness_set *w)
 {
@@ -33,6 +34,7 @@
 	}
 }
 
+/* Keep an entry for each witness of the old and the new set, and no other. */
 static void update_own_witnesses(struct member_node *n, const struct member *m)
 {
 	uint32_t i;
@@ -57,6 +59,11 @@
 	return (x < y) - (x > y);
 }
 
+/*
+ * The latest time for which a majority of a set has vouched for a request sent
+ * then or later, 0 for none. For the log it is when the last read that reached
+ * its end began.
+ */
 static int64_t set_lease_start_ms(const struct member_node *n,
 				  const struct witness_set *w)
 {
@@ -74,19 +81,22 @@
 		return 0;
 	qsort(sent, w->n, sizeof(sent[0]), compare_descending);
 	/*
-	 * With fewer than a majority a second owner could gather the other
-	 * half of the witnesses' promises; two majorities share a witness.
+	 * A majority is needed since any two majorities share a witness. With
+	 * fewer vouches another node could collect the promises of the other
+	 * witnesses and take over.
 	 */
 	return sent[rule_enabled(n, RULE_MAJORITY) ? w->n / 2 : 0];
 }
 
 /*
- * The sending time that a lease counts from. While a change of witnesses is not
- * settled, whoever takes over has stops from a majority of the old ones, and,
- * where it has heard of the change, of the new ones too: so vouches of the old
- * ones are enough, and the new ones have time to be asked. That ends when we
- * send the record that settles the change, which others may read before we do:
- * to them the new ones alone count.
+ * The time that the lease counts from, or 0 without one. While a change of
+ * witnesses is not settled, a successor takes over only with promises of a
+ * majority of the old witnesses, and if it has read of the change, of a
+ * majority of the new ones too. So vouches of the old witnesses are enough,
+ * which leaves time to ask the new ones. That changes when this node appends
+ * the record that settles the change: others may read it before this node does,
+ * and then only the new witnesses count for them. From lease_prepare_settle()
+ * on, therefore, both sets have to vouch.
  */
 static int64_t lease_start_ms(const struct member_node *n,
 			      const struct member *m)
@@ -114,7 +124,10 @@
 	return vouched ? vouched + n->timing.lease_ms : 0;
 }
 
-/* Whether the lease would go on if only the new witnesses counted. */
+/*
+ * Whether the new witnesses alone vouched within the last half of a lease's
+ * length, so that the lease continues when only they count.
+ */
 bool lease_new_set_vouches(const struct member_node *n, const struct member *m)
 {
 	int64_t vouched = set_lease_start_ms(n, &m->witnesses);
@@ -123,10 +136,14 @@
 }
 
 /*
- * Once others read of the settling, the new witnesses count alone. Their
- * vouches may be older than those that requests under way were begun by, so the
- * lesser of both sets counts from here on, and the record is sent when the new
- * ones have vouched for as long as anything was begun for.
+ * Prepare to settle a change of witnesses. Once other nodes read the record
+ * that settles it, only the new witnesses count for them. The lease by the new
+ * witnesses may end before the lease under which requests in flight were
+ * started. So from here on the lease is the shorter of those by both sets, and
+ * the record may be appended once the lease by the new witnesses lasts at least
+ * until the lease before this call would have ended; see
+ * lease_new_set_covers(). The preparation is cancelled when the new witnesses
+ * stop vouching before that.
  */
 void lease_prepare_settle(struct member_node *n, const struct member *m)
 {
@@ -139,7 +156,10 @@
 	}
 }
 
-/* Whether the new witnesses alone have vouched for all that we lent. */
+/*
+ * Whether the lease by the new witnesses alone lasts at least as long as any
+ * lease that requests were started under before lease_prepare_settle().
+ */
 bool lease_new_set_covers(const struct member_node *n, const struct member *m)
 {
 	return n->settling_offset == m->witness_offset &&
@@ -147,7 +167,7 @@
 		       n->settle_lease_until_ms;
 }
 
-/* Whether we may serve at all just now. */
+/* Whether this node has a lease now. */
 bool lease_valid(const struct member_node *n)
 {
 	return member_lease_end_ms(n) > n->now_ms;
@@ -167,7 +187,10 @@
 	return w->n && w->n - denied < w->n / 2 + 1;
 }
 
-/* Whether so many witnesses have promised that no lease can come again. */
+/*
+ * Whether so many witnesses promised not to vouch again that this member cannot
+ * have another lease.
+ */
 bool lease_is_irrecoverable(const struct member_node *n)
 {
 	const struct member *m = fleet_member(&n->fleet, n->self_id);
@@ -179,8 +202,8 @@
 }
 
 /*
- * Whether a majority of a set may yet vouch: processes that are there and have
- * not promised to give no vouch again.
+ * Whether a majority of a set is still able to vouch: processes that are
+ * members and have not promised never to vouch again.
  */
 bool lease_obtainable_from(const struct member_node *n,
 			   const struct witness_set *w)
@@ -199,22 +222,24 @@
 }
 
 /*
- * Whether a majority of a set reported, while still vouching, that it applied
- * the record at offset. A successor then cannot gather a proof from that set
- * without learning of the record.
+ * Whether a majority of a set reported, in a vouch, that it has applied the
+ * record at offset. Any majority of promises from that set then includes one
+ * with at least that offset, and a successor must apply the record before it
+ * takes over.
  */
 bool lease_majority_applied(const struct member_node *n,
 			    const struct witness_set *w, int64_t offset)
 {
-	uint32_t know = 0;
+	uint32_t applied = 0;
 	uint32_t i;
 
 	for (i = 0; i < w->n; i++) {
 		struct witness_status *v = find_witness_status(n, w->id[i]);
 
-		know += w->id[i] == LOG_WITNESS || (v && v->applied >= offset);
+		applied += w->id[i] == LOG_WITNESS ||
+			   (v && v->applied >= offset);
 	}
-	return know >= w->n / 2 + 1;
+	return applied >= w->n / 2 + 1;
 }
 
 static void send_vouch_request(struct member_node *n, int64_t process,
@@ -229,6 +254,10 @@
 	COUNT(vouches_sent);
 }
 
+/*
+ * Ask all witnesses to vouch. With the log as a witness, ask all members, so
+ * that each sees that this one is running.
+ */
 static void send_vouch_requests(struct member_node *n, const struct member *m)
 {
 	struct member *other;
@@ -247,9 +276,10 @@
 			n->own_witnesses, struct witness_status, i);
 
 		/*
-		 * A witness that is a member no more still keeps its promises
-		 * and may vouch until we have settled on another. Two that
-		 * leave at once would cost us our lease otherwise.
+		 * A process that is no longer a member still keeps its promises
+		 * and may vouch until its replacement as a witness is settled.
+		 * Otherwise this node would lose its lease when two witnesses
+		 * leave at once.
 		 */
 		other = fleet_member_by_process(&n->fleet, v->witness);
 		if (other)
@@ -259,7 +289,7 @@
 	}
 }
 
-/* Ask on the next tick rather than wait for the interval. */
+/* Send the next vouch requests within 20 ms instead of after the interval. */
 void lease_request_soon(struct member_node *n)
 {
 	int64_t soon = n->now_ms + 20;
@@ -267,7 +297,7 @@
 	n->next_vouch_request_at_ms = MIN(n->next_vouch_request_at_ms, soon);
 }
 
-/* Ask for vouches when due and note gain and loss of the lease. */
+/* Send vouch requests when due, and log when the lease is gained or lapses. */
 void lease_tick(struct member_node *n)
 {
 	const struct member *m = fleet_member(&n->fleet, n->self_id);
@@ -296,7 +326,7 @@
 		n->no_lease_since_ms = n->now_ms;
 }
 
-/* A witness vouched for the ask that we sent at msg->seq. */
+/* A witness answered the vouch request sent at msg->requested_at_ms. */
 void lease_on_vouch(struct member_node *n, const struct member_msg *msg)
 {
 	struct witness_status *v = find_witness_status(n, msg->flags);
@@ -304,9 +334,10 @@
 	if (!v)
 		return;
 	/*
-	 * The witness starts to wait when it answers. Counting from the
-	 * arrival of that answer, which may have been held up on the way,
-	 * would let our lease outlast its wait.
+	 * The witness waits for a lease's length from when it answers, before
+	 * it promises that this node has stopped. A lease that counted from
+	 * the arrival of the answer, which may be delayed, could last longer
+	 * than that.
 	 */
 	if (rule_enabled(n, RULE_LEASE_FROM_SENDING))
 		v->request_sent_at_ms =
@@ -317,7 +348,7 @@
 	takeover_mark_stopped(n, msg->list);
 }
 
-/* A witness of ours has promised not to vouch for us again. */
+/* A witness of this node has promised not to vouch for it again. */
 void lease_on_denied(struct member_node *n, const struct member_msg *msg)
 {
 	struct witness_status *v = find_witness_status(n, msg->flags);
--- a/member/member.c
+++ b/member/member.c
@@ -6,6 +6,7 @@
 #include "util/result.h"
 
 #define RESIGN_INTERVAL_MS 200
+/* After a longer time between two ticks the process counts as paused. */
 #define PAUSE_THRESHOLD_MS 400
 
 static void on_event(void *user, const struct fleet_event *ev);
@@ -34,7 +35,10 @@
 	n->changes_source = -1;
 	n->required_source_offset = n->fleet.source;
 	n->rand = g_rand_new_with_seed(seed);
-	/* We cannot know how long ago a record read at the start was made. */
+	/*
+	 * When a record that is read at the start was appended is unknown, so a
+	 * member that it removes may still have a lease.
+	 */
 	n->no_acquire_until_ms = now_ms + member_lease_wait_ms(n);
 	n->snapshot_seen_ms = now_ms;
 	n->balance_since_ms = now_ms;
@@ -54,7 +58,7 @@
 	n->cache = g_queue_new();
 }
 
-/* Release everything that member_init() and the node's life allocated. */
+/* Free everything that n has allocated. */
 void member_finish(struct member_node *n)
 {
 	fleet_finish(&n->fleet);
@@ -76,13 +80,13 @@
 	memset(n, 0, sizeof(*n));
 }
 
-/* The state of our own service, NULL until it is configured. */
+/* The state of this node's service, NULL until it is configured. */
 struct fleet_service *member_service(const struct member_node *n)
 {
 	return fleet_service(&n->fleet, n->join_info.service);
 }
 
-/* Fill in who sends and send. */
+/* Fill in the sender's and receiver's fields of msg and send it. */
 void member_send(struct member_node *n, int64_t to, struct member_msg *msg)
 {
 	msg->from = n->self_id;
@@ -91,7 +95,10 @@
 	n->ops->send(n->ops_user, to, msg);
 }
 
-/* Append a record; the kind is busy until member_append_done(). */
+/*
+ * Append a record, taking ownership of r. No other of that kind may be appended
+ * until member_append_done().
+ */
 void member_append(struct member_node *n, enum append_kind kind, json_t *r)
 {
 	n->append_pending[kind] = true;
@@ -104,7 +111,10 @@
 	n->ops->note(n->ops_user, what, subject);
 }
 
-/* Be no member any more: hold nothing, vouch for nobody. */
+/*
+ * End this node's membership: it serves no shard and has no lease. Promises
+ * that the process made as a witness remain.
+ */
 void member_leave_incarnation(struct member_node *n)
 {
 	holds_drop_all(n);
@@ -138,8 +148,8 @@
 static void on_member_removed(struct member_node *n, const struct member *m)
 {
 	/*
-	 * A member whose witness was the log learns of its expulsion by
-	 * reading, and may serve for a lease's length after its last read.
+	 * A member with the log as a witness learns of its removal by reading
+	 * the log, and may serve for a lease's length after its last read.
 	 */
 	if ((witness_set_has(&m->witnesses, LOG_WITNESS) ||
 	     witness_set_has(&m->old_witnesses, LOG_WITNESS)) &&
@@ -179,7 +189,10 @@
 		n->on_event(n->on_event_user, ev);
 }
 
-/* The state was replaced whole, without an event for each change. */
+/*
+ * Bring the node in line with a state that was loaded from a snapshot, which
+ * gives no event for each change.
+ */
 void member_state_replaced(struct member_node *n)
 {
 	COUNT(snapshots_loaded);
@@ -206,14 +219,17 @@
 	if (err == RESULT_GAP)
 		return err;
 	INVARIANT(n->fleet.configuration_version >= version,
-		  "the configuration went back");
+		  "configuration version decreased");
 	COUNT(records_applied);
 	if (err)
 		COUNT(records_dropped);
-	/* The next change follows from this one, and need not wait. */
+	/*
+	 * The next change that operators published builds on this version, and
+	 * can be proposed at once.
+	 */
 	if (n->fleet.configuration_version != version) {
 		n->next_append_ms[APPEND_PUBLISHED] = n->now_ms;
-		/* Whoever wrote it goes on; the others wait anew. */
+		/* The writer of this one continues; the others wait again. */
 		n->published_since_ms = n->now_ms;
 	}
 	sync_remember(n, offset, append_id, record);
@@ -246,8 +262,10 @@
 	n->published_source = source;
 	n->published_bytes = bytes;
 	/*
-	 * Changes in quick succession would put the wait of those who act
-	 * after the first node off again and again, should that one be gone.
+	 * The wait before this node proposes counts from the first change that
+	 * is not in force. Counted from the last one, changes in quick
+	 * succession would delay the nodes that are next in turn again and
+	 * again, while the first in turn may be down.
 	 */
 	if (!pending)
 		n->published_since_ms = n->now_ms;
@@ -283,8 +301,10 @@
 }
 
 /*
- * A change that operators published may not be a record of the log yet, and
- * those who would have brought it in may all have ended.
+ * Reading to the log's end is not enough to be current: a change that operators
+ * published may not be a record of the log yet, since all nodes that would have
+ * proposed it may have stopped. So all that the operators' stream held when
+ * read must be in force too.
  */
 static void check_published_in_force(struct member_node *n)
 {
@@ -326,6 +346,7 @@
 	check_published_in_force(n);
 }
 
+/* Tell one witness that this node has stopped. */
 static void send_resign(struct member_node *n, int64_t process)
 {
 	const struct member *to = fleet_member_by_process(&n->fleet, process);
@@ -338,6 +359,10 @@
 	member_send(n, to->id, &msg);
 }
 
+/*
+ * Once a resigning node is idle: give the request ids to its successors, then
+ * tell its witnesses. Both are repeated until the node is no member.
+ */
 static void resign_tick(struct member_node *n)
 {
 	const struct member *m = fleet_member(&n->fleet, n->self_id);
@@ -361,8 +386,9 @@
 	uint32_t i;
 
 	/*
-	 * While this process was paused it heard nobody, and on waking would
-	 * promise stops for members that are well. Waiting longer is safe.
+	 * A process that was paused has received no requests meanwhile, and
+	 * would promise that members have stopped which still run. Waiting
+	 * longer is safe.
 	 */
 	for (i = 0; i < n->witnessed->len; i++)
 		g_array_index(n->witnessed, struct witnessed_member, i)
@@ -387,6 +413,7 @@
 	propose_tick(n);
 }
 
+/* Whether messages of a type are for one member, named by the field to. */
 static bool addressed_to_member(enum member_msg_type type)
 {
 	return type == MSG_VOUCH || type == MSG_STOP_PROMISE ||
@@ -394,6 +421,7 @@
 	       type == MSG_IDS_ACK;
 }
 
+/* Whether messages of a type are for one process, named by the field flags. */
 static bool addressed_to_process(enum member_msg_type type)
 {
 	return type == MSG_VOUCH_REQUEST || type == MSG_RESIGN;
@@ -420,9 +448,9 @@
 	n->now_ms = MAX(n->now_ms, now_ms);
 	sync_heard(n, msg->from, msg->applied);
 	/*
-	 * A process started again has forgotten what its earlier self
-	 * promised. Answering for that self would let a vouch follow a
-	 * promise to give none.
+	 * A restarted process does not know the promises of the previous
+	 * process. If it answered messages for that one, it might vouch for a
+	 * member after the promise not to.
 	 */
 	if (addressed_to_member(msg->type) &&
 	    (!n->self_id || msg->to != n->self_id))
@@ -440,9 +468,10 @@
 	n->now_ms = MAX(n->now_ms, now_ms);
 	n->want_member = wanted;
 	/*
-	 * Witnesses told of a resignation promise a stop at once, without
-	 * waiting for the lease to end. Taking it back would let this node
-	 * serve on beside its successors, so it joins anew instead.
+	 * Witnesses that were told of a resignation make their promise at once,
+	 * without waiting for the lease to end. If this node cancelled its
+	 * resignation, it could serve at the same time as its successors, so it
+	 * ends this membership and joins again.
 	 */
 	if (wanted && n->resigning)
 		member_leave_incarnation(n);
