--- a/member/takeover.c
+++ b/member/takeover.c
@@ -18,11 +18,15 @@
 	return NULL;
 }
 
+/*
+ * Whether a majority of a set of witnesses promised not to vouch for subject
+ * again. Raises promise_offset to the highest offset that a promise carries.
+ */
 static bool majority_promised(const struct member_node *n, int64_t subject,
 			      const struct witness_set *w,
 			      int64_t *promise_offset)
 {
-	uint32_t stopped = 0;
+	uint32_t promised = 0;
 	uint32_t i;
 
 	for (i = 0; i < w->n; i++) {
@@ -30,17 +34,18 @@
 
 		if (!p)
 			continue;
-		stopped++;
+		promised++;
 		*promise_offset = MAX(*promise_offset, p->promise_offset);
 	}
 	if (!rule_enabled(n, RULE_MAJORITY))
-		return stopped > 0;
-	return stopped >= w->n / 2 + 1;
+		return promised > 0;
+	return promised >= w->n / 2 + 1;
 }
 
 /*
- * Whether one set of a member's witnesses is no obstacle to its expulsion by
- * the log: it is the log, or a majority of it promised.
+ * Whether one set of a member's witnesses allows its removal: the set includes
+ * the log, or a majority of it promised not to vouch again and this node has
+ * applied all that they had applied.
  */
 bool takeover_set_allows_expel(const struct member_node *n, int64_t subject,
 			       const struct witness_set *w)
@@ -54,8 +59,9 @@
 
 /*
  * Whether a member is proved to have stopped for good: a majority of its
- * witnesses, of both sets while a change is not settled, promised so, and we
- * know every record that they knew when they did.
+ * witnesses, of both sets while a change is not settled, promised not to vouch
+ * for it again, and this node has applied every record that they had applied
+ * when they promised.
  */
 bool takeover_stop_proved(const struct member_node *n, int64_t subject)
 {
@@ -72,15 +78,16 @@
 	    !majority_promised(n, subject, &m->old_witnesses, &promise_offset))
 		return false;
 	/*
-	 * The subject may have released a shard to somebody else by a record
-	 * that we lack. It did so only once a majority of its witnesses had
-	 * that record, so one of the promises we hold names it.
+	 * The subject may have released a shard to another member because of a
+	 * record that this node lacks. It releases only once a majority of its
+	 * witnesses has applied that record, so at least one of the promises
+	 * received carries an offset that includes it.
 	 */
 	return promise_offset <= n->fleet.applied ||
 	       !rule_enabled(n, RULE_SUCCESSOR_CATCHES_UP);
 }
 
-/* When the last promise about a subject arrived. */
+/* When the last promise about a member was received, 0 for none. */
 int64_t takeover_last_promise_at_ms(const struct member_node *n,
 				    int64_t subject)
 {
@@ -105,7 +112,10 @@
 	member_note(n, NOTE_STOPPED, id);
 }
 
-/* Take note of ids that a peer knows to have stopped; a hint for routing. */
+/*
+ * Add members that a peer knows to have stopped: a hint for routing, not a
+ * proof.
+ */
 void takeover_mark_stopped(struct member_node *n, const GArray *ids)
 {
 	uint32_t i;
@@ -119,7 +129,10 @@
 	return ids_contain(n->stopped_members, id);
 }
 
-/* A witness tells of its promise about a subject. */
+/*
+ * A witness sends its promise not to vouch for a member again, which may be
+ * this node.
+ */
 void takeover_on_promise(struct member_node *n, const struct member_msg *msg)
 {
 	struct stop_promise p = { .subject = msg->subject,
@@ -144,7 +157,7 @@
 	}
 }
 
-/* Drop what was gathered about a member that is gone. */
+/* Delete all promises about a removed member, and its id in stopped_members. */
 void takeover_remove_member(struct member_node *n, int64_t subject)
 {
 	uint32_t i;
@@ -158,7 +171,10 @@
 			g_array_remove_index_fast(n->stopped_members, i);
 }
 
-/* Forget members that are gone, also those gone by a loaded snapshot. */
+/*
+ * Delete the same of removed members for which there was no event, since a
+ * snapshot was loaded.
+ */
 void takeover_tick(struct member_node *n)
 {
 	uint32_t i;
--- a/member/witness.c
+++ b/member/witness.c
@@ -4,6 +4,7 @@
 #include "util/counters.h"
 #include "util/invariant.h"
 
+/* Interval at which a promise is sent again while its subject is a member. */
 #define PROMISE_RESEND_MS 500
 
 static struct witnessed_member *find_witnessed(const struct member_node *n,
@@ -21,6 +22,7 @@
 	return NULL;
 }
 
+/* Whether m names this process as a witness, in its old or its new set. */
 static bool is_witness_of(const struct member_node *n, const struct member *m)
 {
 	return n->process && m && m->process != n->process &&
@@ -34,7 +36,10 @@
 	       witness_set_has(&m->old_witnesses, LOG_WITNESS);
 }
 
-/* Watch those who name us, and forget those who are gone. */
+/*
+ * Update the entries of members that this process watches: those that name it
+ * as a witness, and those that have the log as a witness.
+ */
 void witness_update_subjects(struct member_node *n)
 {
 	struct member *m;
@@ -46,9 +51,10 @@
 
 		m = fleet_member(&n->fleet, w->subject);
 		/*
-		 * A subject may replace us and take us back later. A promise
-		 * forgotten in between would let us vouch again while somebody
-		 * still holds the promise as proof.
+		 * A member may replace this process as its witness and name it
+		 * again later. If the promise were forgotten in between, this
+		 * process would vouch again while another node may still use
+		 * the promise to take over.
 		 */
 		if (m && w->promised && rule_enabled(n, RULE_PROMISE_PERSISTS))
 			continue;
@@ -66,6 +72,7 @@
 	}
 }
 
+/* Send the promise not to vouch for subject again to one member. */
 static void send_stop_promise(struct member_node *n, int64_t to,
 			      int64_t subject, int64_t promise_offset)
 {
@@ -80,7 +87,10 @@
 	member_send(n, to, &msg);
 }
 
-/* Those who inherit shards from a member, each once; the caller frees. */
+/*
+ * Ids of the successors of all shards that a member owns, each id once. The
+ * caller must free the array.
+ */
 GArray *member_successors(const struct member_node *n, int64_t subject)
 {
 	GArray *out = g_array_new(FALSE, FALSE, sizeof(int64_t));
@@ -101,6 +111,7 @@
 	return out;
 }
 
+/* Send a promise to all that may act on it, this node included. */
 static void send_stop_promises(struct member_node *n,
 			       struct witnessed_member *w)
 {
@@ -112,7 +123,7 @@
 	for (i = 0; i < to->len; i++)
 		send_stop_promise(n, g_array_index(to, int64_t, i), w->subject,
 				  w->promise_offset);
-	/* The other witnesses see to the record when no successor is left. */
+	/* The other witnesses propose the removal when no successor is left. */
 	for (i = 0; m && i < m->witnesses.n; i++) {
 		const struct member *other =
 			fleet_member_by_process(&n->fleet, m->witnesses.id[i]);
@@ -134,9 +145,10 @@
 {
 	w->promised = true;
 	/*
-	 * A record that moved the subject's shards may be known to us and not
-	 * to a successor that is cut off from the log. Naming our offset makes
-	 * it catch up to here before it may serve.
+	 * This node may have applied a record that moved shards of the subject,
+	 * while a successor that cannot reach the log has not. The promise
+	 * carries this node's applied offset, and the successor serves only
+	 * after it has caught up to that.
 	 */
 	w->promise_offset = n->fleet.applied;
 	COUNT(stops_promised);
@@ -144,7 +156,10 @@
 	send_stop_promises(n, w);
 }
 
-/* Promise a stop for each subject whose last vouch has run out. */
+/*
+ * Promise not to vouch again for each member whose last vouch has expired, and
+ * send promises again that are due.
+ */
 void witness_tick(struct member_node *n)
 {
 	uint32_t i;
@@ -166,7 +181,10 @@
 	}
 }
 
-/* A member asks us to vouch. */
+/*
+ * A member asks this process to vouch. Instead of a vouch it gets a promise not
+ * to vouch again if the log has removed it, or if one was made before.
+ */
 void witness_on_request(struct member_node *n, const struct member_msg *msg)
 {
 	const struct member *m = fleet_member(&n->fleet, msg->from);
@@ -187,7 +205,7 @@
 	if (!is_witness_of(n, m))
 		return;
 #ifndef RULE_SWITCHES
-	INVARIANT(!w->promised, "a vouch after the promise to give none");
+	INVARIANT(!w->promised, "vouched for a member after promising not to");
 #endif
 	member_msg_init(&answer, MSG_VOUCH);
 	answer.requested_at_ms = msg->requested_at_ms;
@@ -198,7 +216,7 @@
 	COUNT(vouches_given);
 }
 
-/* A subject says itself that it has stopped: no need to wait. */
+/* A member reports that it has stopped: no need to wait for its lease to end. */
 void witness_on_resign(struct member_node *n, const struct member_msg *msg)
 {
 	const struct member *m = fleet_member(&n->fleet, msg->from);
