--- a/member/member.c
+++ b/member/member.c
@@ -271,9 +271,9 @@
 		n->published_since_ms = n->now_ms;
 }
 
-void member_set_server_instance(struct member_node *n, const char *life)
+void member_set_server_instance(struct member_node *n, const char *instance)
 {
-	g_strlcpy(n->join_info.life, life, sizeof(n->join_info.life));
+	g_strlcpy(n->join_info.life, instance, sizeof(n->join_info.life));
 }
 
 bool member_lease_needs_log(const struct member_node *n)
--- a/member/member.h
+++ b/member/member.h
@@ -15,10 +15,12 @@
  * - A member serves only while it has a lease. It sends vouch requests to its
  *   witnesses, which are other members, or the log in a small fleet. Each vouch
  *   extends the lease, which needs vouches of a majority of the witnesses.
- * - A witness that got no request for longer than a lease promises never to
- *   vouch for that member again. The promises of a majority prove that the
- *   member has stopped, and its successors then take its shards over.
- * - In a planned move the previous owner releases the shard first.
+ * - A witness that got no request for longer than a lease, or that was told of
+ *   a member's resignation, promises never to vouch for that member again. The
+ *   promises of a majority prove that the member has stopped, and its
+ *   successors then take its shards over.
+ * - In a planned move the new owner waits until the previous owner has released
+ *   the shard.
  * - Changes of state are proposed as records of the log.
  *
  * The module does no input or output and reads no clock: time and events are
@@ -183,7 +185,7 @@
 	 * document has the configuration in force instead.
 	 */
 	json_t *(*load_published)(void *user, const json_t *in_force);
-	/* Log a change of state: one of NOTE_*, or any other text. */
+	/* Log a change of state; what is one of NOTE_* or another text. */
 	void (*note)(void *user, const char *what, int64_t subject);
 };
 
@@ -203,9 +205,9 @@
 	bool log_up; /* the last read succeeded; set by the caller */
 	int64_t initial_log_end; /* the log's end when first read */
 	/*
-	 * Offset of the record that changed our witnesses, from when both the
-	 * old and the new set have to vouch until that change is settled; see
-	 * lease_prepare_settle(). 0 none.
+	 * Offset of the record that changed our witnesses, while that change is
+	 * being settled, 0 none. Meanwhile both the old and the new set have to
+	 * vouch; see lease_prepare_settle().
 	 */
 	int64_t settling_offset;
 	bool settle_sent; /* the record that settles it was appended */
@@ -364,7 +366,7 @@
  * Set the id of the backend server instance beside this node. Call before
  * member_set_membership_wanted().
  */
-void member_set_server_instance(struct member_node *n, const char *life);
+void member_set_server_instance(struct member_node *n, const char *instance);
 
 /* Replace the state by a snapshot from the log. Returns as fleet_load(). */
 int member_load_snapshot(struct member_node *n, const json_t *snapshot,
@@ -469,8 +471,8 @@
 bool member_is_witness(const struct member_node *n);
 
 /*
- * Whether this node is not a member, or has resigned: it serves no shard and
- * its witnesses have promised not to vouch for it again.
+ * Whether this node is not a member, or has resigned: it serves no shard, and so
+ * many of its witnesses promised not to vouch again that it can have no lease.
  */
 bool member_has_left(const struct member_node *n);
 
@@ -498,7 +500,7 @@
 	RULE_OLD_WITNESSES_COUNT = 1 << 7,
 	/* A shard of a restarted member is not acquired for a lease's length. */
 	RULE_RESTART_WAITS = 1 << 8,
-	/* The same if the removed member had the log as a witness. */
+	/* Nor is any after a member with the log as a witness was removed. */
 	RULE_LOG_WITNESS_WAIT = 1 << 9,
 	/* A promise lasts though the member replaced the witness meanwhile. */
 	RULE_PROMISE_PERSISTS = 1 << 10,
