--- a/member/holds.c
+++ b/member/holds.c
@@ -382,7 +382,7 @@
 		export_shard(n, s, msg.ids);
 	}
 	if (witnesses_know(n, newest))
-		msg.flags |= RELEASE_CLEARS_SUCCESSOR;
+		msg.flags |= RELEASE_INCLUDES_SUCCESSOR;
 	if (msg.list->len)
 		member_send(n, to, &msg);
 	member_msg_finish(&msg);
@@ -670,7 +670,7 @@
 		if (msg->from == p[k].from)
 			h->clear |= p[k].from_bit;
 		if (msg->from == p[k].from &&
-		    (msg->flags & RELEASE_CLEARS_SUCCESSOR))
+		    (msg->flags & RELEASE_INCLUDES_SUCCESSOR))
 			h->clear |= p[k].successor_bit;
 		if (msg->from == p[k].successor)
 			h->clear |= p[k].successor_bit;
--- a/member/msg.h
+++ b/member/msg.h
@@ -65,7 +65,7 @@
 #define SENDER_FOLLOWS_LOG 2
 
 /* No successor of the sender can be serving these shards either. */
-#define RELEASE_CLEARS_SUCCESSOR 1
+#define RELEASE_INCLUDES_SUCCESSOR 1
 /* The field ids is complete for these shards. */
 #define RELEASE_HAS_IDS 2
 
