--- a/member/member.c
+++ b/member/member.c
@@ -361,7 +361,7 @@
 
 /*
  * Once a resigning node is idle: give the request ids to its successors, then
- * tell its witnesses. Both are repeated until the node is no member.
+ * tell its witnesses. Both are repeated while the node is a member.
  */
 static void resign_tick(struct member_node *n)
 {
@@ -413,7 +413,7 @@
 	propose_tick(n);
 }
 
-/* Whether messages of a type are for one member, named by the field to. */
+/* Whether messages of a type are for the member whose id is in msg->to. */
 static bool addressed_to_member(enum member_msg_type type)
 {
 	return type == MSG_VOUCH || type == MSG_STOP_PROMISE ||
@@ -421,7 +421,7 @@
 	       type == MSG_IDS_ACK;
 }
 
-/* Whether messages of a type are for one process, named by the field flags. */
+/* Whether messages of a type are for the process whose id is in msg->flags. */
 static bool addressed_to_process(enum member_msg_type type)
 {
 	return type == MSG_VOUCH_REQUEST || type == MSG_RESIGN;
