--- a/audit/audit.c
+++ b/audit/audit.c
@@ -88,8 +88,9 @@
 	m->from = ev->from;
 	m->to = ev->to;
 	g_strlcpy(m->service, ev->service, sizeof(m->service));
-	m->why = g_strdup_printf("%s%s%s", ev->reason, ev->by[0] ? ", by " : "",
-				 ev->by);
+	m->why = g_strdup_printf("%s%s%s", ev->reason,
+				 ev->written_by[0] ? ", by " : "",
+				 ev->written_by);
 	m->shards = g_string_new(NULL);
 	return m;
 }
@@ -123,11 +124,11 @@
 	switch (ev->type) {
 	case FLEET_MEMBER_JOINED:
 		return "joined";
-	case FLEET_MEMBER_GONE:
+	case FLEET_MEMBER_REMOVED:
 		return "left";
 	case FLEET_WITNESSES_CHANGED:
 		return "has new witnesses";
-	case FLEET_SETTLED:
+	case FLEET_MEMBER_SETTLED:
 		return "settled";
 	default:
 		return NULL;
@@ -143,7 +144,7 @@
 		on_moved(a, ev);
 		return;
 	}
-	if (ev->type == FLEET_SUCCESSOR_GONE)
+	if (ev->type == FLEET_SUCCESSOR_REMOVED)
 		return;
 	audit_flush(a);
 	if (what)
@@ -156,12 +157,14 @@
 				    ev->member->service, what,
 				    strcmp(ev->reason, what) ? ": " : "",
 				    strcmp(ev->reason, what) ? ev->reason : "",
-				    ev->by[0] ? ", by " : "", ev->by));
-	else if (ev->type == FLEET_CONFIGURED)
-		add_line(a, g_strdup_printf(
-				    "offset %" G_GINT64_FORMAT
-				    ": configuration in force, by %s: %s",
-				    (gint64)ev->offset, ev->by, ev->reason));
+				    ev->written_by[0] ? ", by " : "",
+				    ev->written_by));
+	else if (ev->type == FLEET_CONFIGURATION_CHANGED)
+		add_line(a,
+			 g_strdup_printf("offset %" G_GINT64_FORMAT
+					 ": configuration in force, by %s: %s",
+					 (gint64)ev->offset, ev->written_by,
+					 ev->reason));
 	else if (ev->type == FLEET_CONFIGURATION_REFUSED)
 		add_line(a, g_strdup_printf("offset %" G_GINT64_FORMAT
 					    ": configuration refused: %s",
@@ -171,7 +174,8 @@
 					    ": %s record dropped: %s%s%s",
 					    (gint64)ev->offset, ev->reason,
 					    result_name(ev->result),
-					    ev->by[0] ? ", by " : "", ev->by));
+					    ev->written_by[0] ? ", by " : "",
+					    ev->written_by));
 }
 
 int64_t audit_text(const struct audit *a, int64_t from, GString *out)
--- a/member/busy.c
+++ b/member/busy.c
@@ -87,7 +87,7 @@
 		    const struct fleet_event *ev)
 {
 	return sh->owner == ev->offset + 1 && member_service(n)->key_numbers &&
-	       ev->member->life[0];
+	       ev->member->server_instance_id[0];
 }
 
 /* A member is gone: what it may still have held is busy for a while. */
@@ -101,8 +101,8 @@
 
 		if (adopted(n, sh, ev))
 			continue;
-		if (sh->from == id || sh->from_successor == id ||
-		    sh->earlier_from == id || sh->earlier_successor == id)
+		if (sh->prev_owner == id || sh->prev_successor == id ||
+		    sh->older_owner == id || sh->older_successor == id)
 			expect_busy(n, &n->holds[i], ev->reason);
 	}
 }
--- a/member/holds.c
+++ b/member/holds.c
@@ -29,7 +29,7 @@
 {
 	const struct fleet_service *s = member_service(n);
 
-	return s && s->key_numbers && n->me.life[0];
+	return s && s->key_numbers && n->me.server_instance_id[0];
 }
 
 /* Whether the log, or a proved stop of the owner, gives us the shard. */
@@ -74,9 +74,9 @@
 static void predecessors_of(const struct shard *sh,
 			    struct predecessors p[MAX_PREDECESSORS])
 {
-	p[0] = (struct predecessors){ sh->from, sh->from_successor, CLEAR_FROM,
-				      CLEAR_SUCCESSOR };
-	p[1] = (struct predecessors){ sh->earlier_from, sh->earlier_successor,
+	p[0] = (struct predecessors){ sh->prev_owner, sh->prev_successor,
+				      CLEAR_FROM, CLEAR_SUCCESSOR };
+	p[1] = (struct predecessors){ sh->older_owner, sh->older_successor,
 				      CLEAR_EARLIER_FROM,
 				      CLEAR_EARLIER_SUCCESSOR };
 }
@@ -117,9 +117,9 @@
 {
 	const struct shard *sh = holds_shard(n, i);
 
-	if (!sh->from)
+	if (!sh->prev_owner)
 		return true;
-	if (sh->from == n->self)
+	if (sh->prev_owner == n->self)
 		return predecessors_clear(n, i);
 	return n->holds[i].state == HOLD_HELD;
 }
@@ -129,7 +129,7 @@
 {
 	const struct shard *sh = holds_shard(n, i);
 
-	return n->holds[i].step ? sh->heir_fence * 2 + 1 : sh->fence * 2;
+	return n->holds[i].step ? sh->successor_fence * 2 + 1 : sh->fence * 2;
 }
 
 static void acquire(struct member_node *n, uint32_t i)
@@ -170,7 +170,7 @@
 	if (!rule_on(n, RULE_PAST_IS_WAITED_OUT))
 		return true;
 	if (!holds_granted(n) || holds_guard_ms(n) ||
-	    n->fleet.log_witnessed_gone)
+	    n->fleet.log_witnessed_removed)
 		return false;
 	predecessors_of(holds_shard(n, i), p);
 	for (k = 0; k < MAX_PREDECESSORS; k++)
@@ -629,7 +629,7 @@
 {
 	if (!(msg->flags & RELEASE_HAS_IDS))
 		return;
-	if (msg->from == sh->from) {
+	if (msg->from == sh->prev_owner) {
 		h->has_ids = true;
 		h->blind_since_ms = 0;
 	}
@@ -744,6 +744,7 @@
 	if (n->self || !n->want_member)
 		return false;
 	owner = fleet_member(&n->fleet, holds_shard(n, shard)->owner);
-	return owner && !strcmp(owner->host, n->me.host) && n->me.life[0] &&
-	       !strcmp(owner->life, n->me.life);
+	return owner && !strcmp(owner->host, n->me.host) &&
+	       n->me.server_instance_id[0] &&
+	       !strcmp(owner->server_instance_id, n->me.server_instance_id);
 }
--- a/member/member.c
+++ b/member/member.c
@@ -32,7 +32,7 @@
 	n->ahead_applied = -1;
 	n->published_source = -1;
 	n->changes_source = -1;
-	n->needs_source = n->fleet.source;
+	n->needs_source = n->fleet.source_offset;
 	n->rand = g_rand_new_with_seed(seed);
 	/* We cannot know how long ago a record read at the start was made. */
 	n->quiet_until_ms = now_ms + member_wait_ms(n);
@@ -158,14 +158,14 @@
 	case FLEET_MEMBER_JOINED:
 		on_joined(n, ev->member);
 		break;
-	case FLEET_MEMBER_GONE:
+	case FLEET_MEMBER_REMOVED:
 		holds_on_gone(n, ev);
 		on_gone(n, ev->member);
 		break;
 	case FLEET_SHARD_MOVED:
 		holds_on_moved(n, ev);
 		break;
-	case FLEET_SUCCESSOR_GONE:
+	case FLEET_SUCCESSOR_REMOVED:
 		holds_on_successor_gone(n, ev);
 		break;
 	default:
@@ -224,7 +224,7 @@
 	int err;
 
 	n->now_ms = MAX(n->now_ms, now_ms);
-	err = fleet_load(&n->fleet, snapshot);
+	err = fleet_load_snapshot(&n->fleet, snapshot);
 	if (err)
 		return err;
 	n->fleet.snapshot_upto = n->fleet.applied;
@@ -235,7 +235,7 @@
 void member_set_published(struct member_node *n, int64_t source, uint32_t bytes,
 			  int64_t now_ms)
 {
-	bool pending = n->published_source > n->fleet.source;
+	bool pending = n->published_source > n->fleet.source_offset;
 
 	n->now_ms = MAX(n->now_ms, now_ms);
 	n->published_source = source;
@@ -250,7 +250,8 @@
 
 void member_set_life(struct member_node *n, const char *life)
 {
-	g_strlcpy(n->me.life, life, sizeof(n->me.life));
+	g_strlcpy(n->me.server_instance_id, life,
+		  sizeof(n->me.server_instance_id));
 }
 
 bool member_needs_log(const struct member_node *n)
@@ -273,7 +274,7 @@
 
 bool member_has_news(const struct member_node *n)
 {
-	return n->published_source > n->fleet.source ||
+	return n->published_source > n->fleet.source_offset ||
 	       n->ahead_applied > n->fleet.applied;
 }
 
@@ -284,7 +285,7 @@
 static void look_at_published(struct member_node *n)
 {
 	if (n->published_in_force || !n->log_caught_up || n->awaits_published ||
-	    n->needs_source > n->fleet.source)
+	    n->needs_source > n->fleet.source_offset)
 		return;
 	n->published_in_force = true;
 	member_note(n, NOTE_CURRENT, n->fleet.configuration_version);
@@ -475,12 +476,12 @@
 	bool owner_stopped = member_known_stopped(n, sh->owner);
 	uint32_t count = 0;
 
-	if (sh->from && !member_known_stopped(n, sh->from))
-		count = add_candidate(n, sh->from, out, count, max);
+	if (sh->prev_owner && !member_known_stopped(n, sh->prev_owner))
+		count = add_candidate(n, sh->prev_owner, out, count, max);
 	if (!owner_stopped)
 		count = add_candidate(n, sh->owner, out, count, max);
 	count = add_candidate(n, sh->successor, out, count, max);
-	count = add_candidate(n, sh->from_successor, out, count, max);
-	count = add_candidate(n, sh->earlier_from, out, count, max);
+	count = add_candidate(n, sh->prev_successor, out, count, max);
+	count = add_candidate(n, sh->older_owner, out, count, max);
 	return add_candidate(n, sh->owner, out, count, max);
 }
--- a/member/member.h
+++ b/member/member.h
@@ -313,7 +313,10 @@
 /* Name the life of our backend server, before asking to be a member. */
 void member_set_life(struct member_node *n, const char *life);
 
-/* Replace the state by a snapshot from the log; results as fleet_load(). */
+/*
+ * Replace the state by a snapshot from the log; results as
+ * fleet_load_snapshot().
+ */
 int member_load(struct member_node *n, const json_t *snapshot, int64_t now_ms);
 
 /*
--- a/member/propose.c
+++ b/member/propose.c
@@ -364,9 +364,9 @@
 		if (s->shards[i].owner == n->self && !holds_cleared(n, i))
 			upto = MIN(upto, s->shards[i].fence - 1);
 	for (i = 0; s && i < n->n_holds; i++)
-		*useful = *useful ||
-			  (s->shards[i].owner == n->self && s->shards[i].from &&
-			   s->shards[i].fence <= upto);
+		*useful = *useful || (s->shards[i].owner == n->self &&
+				      s->shards[i].prev_owner &&
+				      s->shards[i].fence <= upto);
 	return upto;
 }
 
@@ -398,7 +398,7 @@
 	uint32_t i;
 
 	for (i = 0; i < s->n_shards; i++)
-		if (s->shards[i].from)
+		if (s->shards[i].prev_owner)
 			return false;
 	return true;
 }
@@ -436,7 +436,8 @@
 	const struct fleet_service *s = member_service(n);
 
 	return s && shard < n->n_holds && s->shards[shard].owner == n->self &&
-	       !s->shards[shard].from && n->holds[shard].state == HOLD_HELD;
+	       !s->shards[shard].prev_owner &&
+	       n->holds[shard].state == HOLD_HELD;
 }
 
 bool member_give(struct member_node *n, int64_t to, const GArray *shards,
@@ -610,7 +611,7 @@
 		PUBLISH_STRANGER_MS +
 		hash_pair(n->me.host, n->published_source) % PUBLISH_SPREAD_MS;
 
-	if (n->published_source <= n->fleet.source) {
+	if (n->published_source <= n->fleet.source_offset) {
 		drop_wanted(n);
 		return;
 	}
--- a/member/sync.c
+++ b/member/sync.c
@@ -150,7 +150,7 @@
 	if (n->now_ms < n->next_readers_ms)
 		return;
 	n->next_readers_ms = n->now_ms + READERS_EVERY_MS;
-	all = assign_readers(&n->fleet);
+	all = assign_log_readers(&n->fleet);
 	g_array_set_size(n->followers, 0);
 	g_array_set_size(n->relays, 0);
 	for (place = 0; place < all->len; place++)
@@ -424,7 +424,7 @@
 		COUNT(peer_messages_malformed);
 		return;
 	}
-	if (!fleet_load(&n->fleet, state)) {
+	if (!fleet_load_snapshot(&n->fleet, state)) {
 		member_state_replaced(n);
 		caught_up_with(n, msg);
 	}
--- a/node/entry-pick.c
+++ b/node/entry-pick.c
@@ -31,7 +31,7 @@
 
 	for_each_member (&n->fleet, m, i)
 		if (!strcmp(m->service, r->service) &&
-		    fleet_member_takes_work(&n->fleet, m) &&
+		    fleet_member_in_service(&n->fleet, m) &&
 		    !member_known_stopped(n, m->id) && count < MAX_MEMBERS) {
 			out[count].member = m->id;
 			out[count].extra_ms = strcmp(m->data_centre, home) ? far
@@ -84,7 +84,7 @@
 	int64_t key;
 
 	if (!r->plan.keyed || !s || r->shard >= s->n_shards ||
-	    s->shards[r->shard].from != r->last_member)
+	    s->shards[r->shard].prev_owner != r->last_member)
 		return;
 	key = moved_key(r);
 	if (g_hash_table_size(t) >= MAX_MOVED_ON)
@@ -99,7 +99,7 @@
 	int64_t key = moved_key(r);
 	const int64_t *fence = g_hash_table_lookup(r->entry->moved_on, &key);
 
-	return sh->from && fence && *fence == sh->fence;
+	return sh->prev_owner && fence && *fence == sh->fence;
 }
 
 /*
@@ -111,10 +111,10 @@
 {
 	if (!r->plan.tries)
 		r->owner_first = has_moved_on(r, sh);
-	if (!r->owner_first || count < 2 || members[0] != sh->from)
+	if (!r->owner_first || count < 2 || members[0] != sh->prev_owner)
 		return;
 	memmove(members, members + 1, (count - 1) * sizeof(members[0]));
-	members[count - 1] = sh->from;
+	members[count - 1] = sh->prev_owner;
 }
 
 /* The gate to ask next, other than except where there is a choice; 0 none. */
--- a/node/gate-give.c
+++ b/node/gate-give.c
@@ -30,7 +30,7 @@
 
 		if (m->id == n->self ||
 		    strcmp(m->service, g->node->settings.service) ||
-		    !fleet_member_takes_work(&n->fleet, m) ||
+		    !fleet_member_in_service(&n->fleet, m) ||
 		    member_known_stopped(n, m->id))
 			continue;
 		v = chooser_view(&g->node->entry.chooser, m->id);
--- a/node/gate.h
+++ b/node/gate.h
@@ -42,8 +42,10 @@
 	uint32_t slots;
 	uint32_t connections;
 	int64_t probe_cost_ms;
-	char life[LIFE_MAX_LEN + 1]; /* names one start of it, "" not told */
-	char id[LIFE_MAX_LEN + 1]; /* as requests name it, "" not at all */
+	/* Names one start of it, "" not told. */
+	char life[SERVER_INSTANCE_ID_MAX_LEN + 1];
+	/* As requests name it, "" not at all. */
+	char id[SERVER_INSTANCE_ID_MAX_LEN + 1];
 };
 
 struct gate {
--- a/node/node.c
+++ b/node/node.c
@@ -30,7 +30,7 @@
 	const struct member *m = fleet_member(&n->member.fleet, n->member.self);
 
 	return m && !n->member.resigning && !n->gate.draining &&
-	       fleet_member_takes_work(&n->member.fleet, m);
+	       fleet_member_in_service(&n->member.fleet, m);
 }
 
 static const char *address_of(struct node *n, int64_t id)
@@ -154,8 +154,8 @@
 	      ",\"from\":%" PRId64 ",\"from_successor\":%" PRId64
 	      ",\"earlier_from\":%" PRId64 ",\"earlier_successor\":%" PRId64,
 	      u.n, clock_now_ms() - u.since_ms, shard, sh->fence,
-	      m->holds[shard].state, m->holds[shard].clear, sh->from,
-	      sh->from_successor, sh->earlier_from, sh->earlier_successor);
+	      m->holds[shard].state, m->holds[shard].clear, sh->prev_owner,
+	      sh->prev_successor, sh->older_owner, sh->older_successor);
 }
 
 static void op_note(void *user, const char *what, int64_t subject)
@@ -186,7 +186,7 @@
 		EVENT(current, NULL,
 		      "\"version\":%" PRId64 ",\"source\":%" PRId64
 		      ",\"published\":%" PRId64 ",\"ms\":%" PRId64,
-		      subject, n->member.fleet.source,
+		      subject, n->member.fleet.source_offset,
 		      n->member.published_source,
 		      clock_now_ms() - n->started_ms);
 	g_info("member %" G_GINT64_FORMAT ": %s %" G_GINT64_FORMAT,
@@ -237,7 +237,7 @@
 	      "\"version\":%" PRId64 ",\"source\":%" PRId64
 	      ",\"operators_version\":%" PRId64
 	      ",\"classes\":%u,\"read_ago_ms\":%" PRId64,
-	      ev->offset, m->fleet.source,
+	      ev->offset, m->fleet.source_offset,
 	      (int64_t)json_integer_value(
 		      json_object_get(m->fleet.document, "source")),
 	      m->fleet.configuration.n_classes,
@@ -249,7 +249,7 @@
 	struct node *n = user;
 
 	audit_event(&n->audit, ev);
-	if (ev->type == FLEET_CONFIGURED) {
+	if (ev->type == FLEET_CONFIGURATION_CHANGED) {
 		tell_configured(n, ev);
 		entry_follow_configuration(&n->entry);
 	}
@@ -259,11 +259,11 @@
 		      "\"offset\":%" PRId64 ",\"problem\":%s", ev->offset,
 		      event_text(ev->reason));
 	}
-	if (ev->type == FLEET_MEMBER_GONE &&
+	if (ev->type == FLEET_MEMBER_REMOVED &&
 	    (!strcmp(ev->reason, FLEET_REASON_RESTARTED) ||
-	     !strcmp(ev->reason, FLEET_REASON_ENDED)))
+	     !strcmp(ev->reason, FLEET_REASON_SERVER_RESTARTED)))
 		n->superseded = *ev->member;
-	if (ev->type == FLEET_MEMBER_GONE)
+	if (ev->type == FLEET_MEMBER_REMOVED)
 		gate_entry_gone(&n->gate, ev->member->peer);
 	if (ev->type == FLEET_MEMBER_JOINED) {
 		remember_address(n, ev->member->id, ev->member->peer);
--- a/node/operator.c
+++ b/node/operator.c
@@ -71,7 +71,7 @@
 				  "data_centre", m->data_centre, "service",
 				  m->service, "peer", m->peer, "shards",
 				  owned(n, m), "takes_work",
-				  fleet_member_takes_work(&n->member.fleet, m),
+				  fleet_member_in_service(&n->member.fleet, m),
 				  "known_stopped",
 				  member_known_stopped(&n->member, m->id),
 				  "witnesses",
@@ -150,10 +150,11 @@
 		"in_flight %u\nwaiting %u\nlimit %.1f\n"
 		"backend_latency_us %.0f\n",
 		n->member.fleet.applied, n->member.fleet.configuration_version,
-		n->member.fleet.configuration.n_classes, n->member.fleet.source,
-		n->member.published_source, fleet_n_members(&n->member.fleet),
-		held(n), member_lease_end_ms(&n->member) > clock_now_ms(),
-		unsettled.n, unsettled_ms(&unsettled), n->gate.load.n_running,
+		n->member.fleet.configuration.n_classes,
+		n->member.fleet.source_offset, n->member.published_source,
+		fleet_n_members(&n->member.fleet), held(n),
+		member_lease_end_ms(&n->member) > clock_now_ms(), unsettled.n,
+		unsettled_ms(&unsettled), n->gate.load.n_running,
 		n->gate.load.queue.heap->len, n->gate.load.limit.now,
 		n->gate.load.limit.recent_ms * 1000);
 	httpd_reply(r, 200, NULL, text->str, text->len);
@@ -185,19 +186,20 @@
 	sh = &s->shards[i];
 	stopped = member_known_stopped(&n->member, sh->owner);
 	server = stopped ? sh->successor : sh->owner;
-	reply_json(
-		r, 200,
-		json_pack("{s:s,s:s,s:i,s:I,s:s,s:I,s:s,s:I,s:I,s:b,s:s}",
-			  "service", service, "key", key, "shard", i, "owner",
-			  (json_int_t)server, "owner_host", host_of(n, server),
-			  "successor", (json_int_t)sh->successor,
-			  "successor_host", host_of(n, sh->successor),
-			  "since_offset", (json_int_t)sh->fence, "moving_from",
-			  (json_int_t)sh->from, "ahead_of_log", stopped, "why",
-			  stopped    ? "the owner's witnesses say it stopped; "
+	reply_json(r, 200,
+		   json_pack("{s:s,s:s,s:i,s:I,s:s,s:I,s:s,s:I,s:I,s:b,s:s}",
+			     "service", service, "key", key, "shard", i,
+			     "owner", (json_int_t)server, "owner_host",
+			     host_of(n, server), "successor",
+			     (json_int_t)sh->successor, "successor_host",
+			     host_of(n, sh->successor), "since_offset",
+			     (json_int_t)sh->fence, "moving_from",
+			     (json_int_t)sh->prev_owner, "ahead_of_log",
+			     stopped, "why",
+			     stopped ? "the owner's witnesses say it stopped; "
 				       "its successor serves"
-			  : sh->from ? "planned move, not settled yet"
-				     : "assigned by the log record"));
+			     : sh->prev_owner ? "planned move, not settled yet"
+					      : "assigned by the log record"));
 }
 
 static void get_audit(struct node *n, struct httpd_request *r)
@@ -330,14 +332,15 @@
 {
 	uint32_t i;
 
-	if (ev->type != FLEET_CONFIGURED && ev->type != FLEET_DROPPED)
+	if (ev->type != FLEET_CONFIGURATION_CHANGED &&
+	    ev->type != FLEET_RECORD_DROPPED)
 		return;
 	for (i = 0; i < n->publishes->len; i++) {
 		struct publish *p = g_ptr_array_index(n->publishes, i);
 
-		if (!strstr(ev->by, p->id))
+		if (!strstr(ev->written_by, p->id))
 			continue;
-		p->in_force = ev->type == FLEET_CONFIGURED;
+		p->in_force = ev->type == FLEET_CONFIGURATION_CHANGED;
 		p->lost = !p->in_force;
 		p->version = ev->offset;
 	}
--- a/node/streams.c
+++ b/node/streams.c
@@ -285,13 +285,13 @@
 		n->operators.gather_ms = GATHER_OPERATORS_MS;
 	/* What operators changed is in force elsewhere by now, or nobody reads.
 	 */
-	if (m->published_source > m->fleet.source &&
+	if (m->published_source > m->fleet.source_offset &&
 	    now - m->published_since_ms > DEAF_MS &&
 	    now - n->log.read_sent_ms > DEAF_MS)
 		log_client_renew(&n->log);
 	if (!n->operators.ops)
 		return;
-	if (m->fleet.source < n->operators.next || !n->reads_operators)
+	if (m->fleet.source_offset < n->operators.next || !n->reads_operators)
 		n->source_ahead_ms = 0;
 	else if (!n->source_ahead_ms)
 		n->source_ahead_ms = now;
--- a/state/assign.c
+++ b/state/assign.c
@@ -5,14 +5,14 @@
 #include "state/records.h"
 #include "util/hash.h"
 
-#define FEW_FACTOR 5
+#define RANGE_IMBALANCE_FACTOR 5
 /* More than a witness in a data centre of its own is worth. */
-#define MERIT_RUNNING 2
+#define SCORE_RUNNING 2
 
-static bool serves(const struct fleet *f, const struct fleet_service *s,
-		   const struct member *m)
+static bool can_own(const struct fleet *f, const struct fleet_service *s,
+		    const struct member *m)
 {
-	return !strcmp(m->service, s->name) && fleet_member_takes_work(f, m);
+	return !strcmp(m->service, s->name) && fleet_member_in_service(f, m);
 }
 
 /*
@@ -26,16 +26,16 @@
 	uint32_t i;
 
 	for_each_member (f, m, i) {
-		m->claims = 0;
-		m->candidate = serves(f, s, m);
+		m->n_assigned = 0;
+		m->candidate = can_own(f, s, m);
 	}
 	for (i = 0; i < s->n_shards; i++) {
 		m = fleet_member(f, s->shards[i].owner);
 		if (m)
-			m->claims++;
+			m->n_assigned++;
 		m = fleet_member(f, s->shards[i].successor);
 		if (m)
-			m->claims++;
+			m->n_assigned++;
 	}
 }
 
@@ -45,12 +45,12 @@
  * where there is one, with the fewest claims so far, by rendezvous hash among
  * equals. Returns 0 when nobody can. assign_prepare() comes first.
  */
-int64_t assign_pick(const struct fleet *f, uint32_t shard, int64_t owner,
-		    int64_t avoid)
+int64_t assign_pick_member(const struct fleet *f, uint32_t shard, int64_t owner,
+			   int64_t avoid)
 {
-	const struct member *home = fleet_member(f, owner);
+	const struct member *owner_member = fleet_member(f, owner);
 	struct member *best = NULL;
-	bool best_away = false;
+	bool best_elsewhere = false;
 	uint32_t best_claims = 0;
 	uint64_t best_hash = 0;
 	struct member *m;
@@ -58,25 +58,27 @@
 
 	for_each_member (f, m, i) {
 		uint64_t h;
-		bool away;
+		bool elsewhere;
 
 		if (!m->candidate || m->id == owner || m->id == avoid)
 			continue;
-		away = !home || strcmp(home->data_centre, m->data_centre);
-		if (best && (away < best_away ||
-			     (away == best_away && m->claims > best_claims)))
+		elsewhere = !owner_member ||
+			    strcmp(owner_member->data_centre, m->data_centre);
+		if (best && (elsewhere < best_elsewhere ||
+			     (elsewhere == best_elsewhere &&
+			      m->n_assigned > best_claims)))
 			continue;
 		h = hash_pair(m->host, shard);
-		if (best && away == best_away && m->claims == best_claims &&
-		    h <= best_hash)
+		if (best && elsewhere == best_elsewhere &&
+		    m->n_assigned == best_claims && h <= best_hash)
 			continue;
 		best = m;
-		best_away = away;
-		best_claims = m->claims;
+		best_elsewhere = elsewhere;
+		best_claims = m->n_assigned;
 		best_hash = h;
 	}
 	if (best)
-		best->claims++;
+		best->n_assigned++;
 	return best ? best->id : 0;
 }
 
@@ -105,14 +107,14 @@
 			    const struct witness_set *chosen)
 {
 	const struct member *best = NULL;
-	uint32_t best_merit = 0;
+	uint32_t best_score = 0;
 	uint64_t best_hash = 0;
 	struct member *m;
 	uint32_t i;
 
 	for_each_member (f, m, i) {
 		uint64_t h = hash_pair(subject->host, hash_string(m->host));
-		uint32_t merit;
+		uint32_t score;
 
 		if (!strcmp(m->host, subject->host) || m->id == subject->id)
 			continue;
@@ -120,16 +122,16 @@
 		    (avoid && witness_set_has(avoid, m->process)) ||
 		    !is_newest(f, m))
 			continue;
-		merit = strcmp(m->data_centre, subject->data_centre) &&
+		score = strcmp(m->data_centre, subject->data_centre) &&
 			!data_centre_used(f, chosen, m->data_centre);
 		/* Who is gone vouches for nobody, wherever it was. */
 		if (m->id > newer_than)
-			merit += MERIT_RUNNING;
-		if (best && (merit < best_merit ||
-			     (merit == best_merit && h <= best_hash)))
+			score += SCORE_RUNNING;
+		if (best && (score < best_score ||
+			     (score == best_score && h <= best_hash)))
 			continue;
 		best = m;
-		best_merit = merit;
+		best_score = score;
 		best_hash = h;
 	}
 	return best ? best->process : 0;
@@ -158,21 +160,21 @@
 	out->id[0] = LOG_WITNESS;
 }
 
-struct load {
+struct member_load {
 	int64_t id;
 	uint32_t n_owned;
 };
 
 static GArray *count_owned(const struct fleet *f, const struct fleet_service *s)
 {
-	GArray *loads = g_array_new(FALSE, FALSE, sizeof(struct load));
+	GArray *loads = g_array_new(FALSE, FALSE, sizeof(struct member_load));
 	struct member *m;
 	uint32_t i, j;
 
 	for_each_member (f, m, i) {
-		struct load l = { m->id, 0 };
+		struct member_load l = { m->id, 0 };
 
-		if (!serves(f, s, m))
+		if (!can_own(f, s, m))
 			continue;
 		for (j = 0; j < s->n_shards; j++)
 			l.n_owned += s->shards[j].owner == m->id;
@@ -181,13 +183,14 @@
 	return loads;
 }
 
-static struct load *extreme(GArray *loads, bool most)
+static struct member_load *find_extreme_load(GArray *loads, bool most)
 {
-	struct load *best = NULL;
+	struct member_load *best = NULL;
 	uint32_t i;
 
 	for (i = 0; i < loads->len; i++) {
-		struct load *l = &g_array_index(loads, struct load, i);
+		struct member_load *l =
+			&g_array_index(loads, struct member_load, i);
 
 		if (!best || (most ? l->n_owned > best->n_owned
 				   : l->n_owned < best->n_owned))
@@ -196,40 +199,43 @@
 	return best;
 }
 
-static int64_t movable_shard(const struct fleet_service *s, int64_t owner,
-			     GHashTable *taken)
+static int64_t find_movable_shard(const struct fleet_service *s, int64_t owner,
+				  GHashTable *moved)
 {
 	uint32_t i;
 
 	for (i = 0; i < s->n_shards; i++) {
 		const struct shard *sh = &s->shards[i];
 
-		if (sh->owner == owner && !sh->from &&
-		    !g_hash_table_contains(taken, GUINT_TO_POINTER(i)))
+		if (sh->owner == owner && !sh->prev_owner &&
+		    !g_hash_table_contains(moved, GUINT_TO_POINTER(i)))
 			return i;
 	}
 	return -1;
 }
 
-static int64_t successor_after(const struct fleet *f,
-			       const struct fleet_service *s, uint32_t shard,
-			       int64_t owner)
+static int64_t successor_for_owner(const struct fleet *f,
+				   const struct fleet_service *s,
+				   uint32_t shard, int64_t owner)
 {
 	int64_t old = s->shards[shard].successor;
 
-	return old && old != owner ? old : assign_pick(f, shard, owner, 0);
+	return old && old != owner ? old
+				   : assign_pick_member(f, shard, owner, 0);
 }
 
-static int64_t stranded_shard(const struct fleet *f,
-			      const struct fleet_service *s, GHashTable *taken)
+static int64_t find_out_of_service_shard(const struct fleet *f,
+					 const struct fleet_service *s,
+					 GHashTable *moved)
 {
 	uint32_t i;
 
 	for (i = 0; i < s->n_shards; i++) {
 		const struct member *m = fleet_member(f, s->shards[i].owner);
 
-		if (m && !fleet_member_takes_work(f, m) && !s->shards[i].from &&
-		    !g_hash_table_contains(taken, GUINT_TO_POINTER(i)))
+		if (m && !fleet_member_in_service(f, m) &&
+		    !s->shards[i].prev_owner &&
+		    !g_hash_table_contains(moved, GUINT_TO_POINTER(i)))
 			return i;
 	}
 	return -1;
@@ -240,11 +246,12 @@
  * load, by those who own them; only whoever has next to none needs some to
  * begin with.
  */
-static bool uneven(const struct fleet_service *s, const struct load *most,
-		   const struct load *least)
+static bool is_unbalanced(const struct fleet_service *s,
+			  const struct member_load *most,
+			  const struct member_load *least)
 {
 	if (s->key_numbers)
-		return least->n_owned * FEW_FACTOR < most->n_owned;
+		return least->n_owned * RANGE_IMBALANCE_FACTOR < most->n_owned;
 	return most->n_owned > least->n_owned + 1;
 }
 
@@ -258,53 +265,53 @@
 		       uint32_t max_moves)
 {
 	GArray *loads = count_owned(f, s);
-	GHashTable *taken = g_hash_table_new(NULL, NULL);
+	GHashTable *moved = g_hash_table_new(NULL, NULL);
 	json_t *record = NULL;
 	uint32_t n;
 
 	assign_prepare(f, s);
 	for (n = 0; n < max_moves; n++) {
-		struct load *most = extreme(loads, true);
-		struct load *least = extreme(loads, false);
-		int64_t i = least ? stranded_shard(f, s, taken) : -1;
+		struct member_load *most = find_extreme_load(loads, true);
+		struct member_load *least = find_extreme_load(loads, false);
+		int64_t i = least ? find_out_of_service_shard(f, s, moved) : -1;
 
 		if (i >= 0) {
 			most = NULL;
 		} else {
-			if (!most || !uneven(s, most, least))
+			if (!most || !is_unbalanced(s, most, least))
 				break;
-			i = movable_shard(s, most->id, taken);
+			i = find_movable_shard(s, most->id, moved);
 			if (i < 0)
 				break;
 		}
 		if (!record)
 			record = record_move(s->name, 0, "balance");
 		record_move_add(record, i, least->id,
-				successor_after(f, s, i, least->id),
+				successor_for_owner(f, s, i, least->id),
 				s->shards[i].fence);
-		g_hash_table_add(taken, GUINT_TO_POINTER((guint)i));
+		g_hash_table_add(moved, GUINT_TO_POINTER((guint)i));
 		if (most)
 			most->n_owned--;
 		least->n_owned++;
 	}
-	g_hash_table_unref(taken);
+	g_hash_table_unref(moved);
 	g_array_unref(loads);
 	return record;
 }
 
 /*
- * Rank of a member in who acts first on a matter, 0 first, by rendezvous hash
+ * Rank of a member in who acts first on a task, 0 first, by rendezvous hash
  * over all members. Only a preference: replay keeps a second actor harmless.
  */
-uint32_t assign_rank(const struct fleet *f, const char *matter, int64_t id)
+uint32_t assign_rank(const struct fleet *f, const char *task, int64_t id)
 {
-	uint64_t mine = hash_pair(matter, id);
+	uint64_t mine = hash_pair(task, id);
 	uint32_t rank = 0;
 	struct member *m;
 	uint32_t i;
 
 	for_each_member (f, m, i)
-		rank += hash_pair(matter, m->id) > mine;
+		rank += hash_pair(task, m->id) > mine;
 	return rank;
 }
 
@@ -314,15 +321,15 @@
  */
 #define MIN_READERS 4
 
-struct ranked {
+struct hashed_member {
 	uint64_t hash;
 	int64_t id;
 };
 
-static int by_hash(gconstpointer a, gconstpointer b)
+static int compare_by_hash(gconstpointer a, gconstpointer b)
 {
-	const struct ranked *x = a;
-	const struct ranked *y = b;
+	const struct hashed_member *x = a;
+	const struct hashed_member *y = b;
 
 	return (x->hash < y->hash) - (x->hash > y->hash);
 }
@@ -332,22 +339,22 @@
  * the first by rendezvous hash, as many as the square root of the fleet. The
  * caller frees.
  */
-GArray *assign_readers(const struct fleet *f)
+GArray *assign_log_readers(const struct fleet *f)
 {
-	GArray *all = g_array_new(FALSE, FALSE, sizeof(struct ranked));
+	GArray *all = g_array_new(FALSE, FALSE, sizeof(struct hashed_member));
 	GArray *out = g_array_new(FALSE, FALSE, sizeof(int64_t));
 	struct member *m;
 	uint32_t i;
 
 	for_each_member (f, m, i) {
-		struct ranked r = { hash_pair("read", m->id), m->id };
+		struct hashed_member r = { hash_pair("read", m->id), m->id };
 
 		g_array_append_val(all, r);
 	}
-	g_array_sort(all, by_hash);
+	g_array_sort(all, compare_by_hash);
 	for (i = 0; i < all->len && (i < MIN_READERS || i * i < all->len); i++)
-		g_array_append_val(out,
-				   g_array_index(all, struct ranked, i).id);
+		g_array_append_val(
+			out, g_array_index(all, struct hashed_member, i).id);
 	g_array_unref(all);
 	return out;
 }
--- a/state/fleet.c
+++ b/state/fleet.c
@@ -13,9 +13,9 @@
 	memset(f, 0, sizeof(*f));
 	f->applied = -1;
 	f->configuration_version = -1;
-	f->source = -1;
-	f->source_begun = -1;
-	f->version_begun = -1;
+	f->source_offset = -1;
+	f->partial_source_offset = -1;
+	f->partial_version = -1;
 	f->snapshot_offset = -1;
 	f->snapshot_upto = -1;
 	f->members = g_array_new(FALSE, TRUE, sizeof(struct member));
@@ -35,19 +35,20 @@
 	memset(f, 0, sizeof(*f));
 }
 
-static int64_t number(const json_t *r, const char *name)
+static int64_t get_number(const json_t *r, const char *name)
 {
 	return json_integer_value(json_object_get(r, name));
 }
 
-static const char *text(const json_t *r, const char *name)
+static const char *get_text(const json_t *r, const char *name)
 {
 	const char *s = json_string_value(json_object_get(r, name));
 
 	return s ? s : "";
 }
 
-static void emit(struct fleet *f, struct fleet_event *ev, const json_t *record)
+static void emit_event(struct fleet *f, struct fleet_event *ev,
+		       const json_t *record)
 {
 	const json_t *by = json_object_get(record, "by");
 	char id[24];
@@ -57,24 +58,24 @@
 	if (json_is_integer(by)) {
 		g_snprintf(id, sizeof(id), "member %" G_GINT64_FORMAT,
 			   (gint64)json_integer_value(by));
-		ev->by = id;
+		ev->written_by = id;
 	} else {
-		ev->by = text(record, "by");
+		ev->written_by = get_text(record, "by");
 	}
 	if (!ev->reason)
-		ev->reason = text(record, "reason");
+		ev->reason = get_text(record, "reason");
 	f->on_event(f->on_event_user, ev);
 }
 
-static void emit_member(struct fleet *f, enum fleet_event_type type,
-			int64_t offset, const struct member *m,
-			const json_t *record, const char *reason)
+static void emit_member_event(struct fleet *f, enum fleet_event_type type,
+			      int64_t offset, const struct member *m,
+			      const json_t *record, const char *reason)
 {
 	struct fleet_event ev = {
 		.type = type, .offset = offset, .member = m, .reason = reason
 	};
 
-	emit(f, &ev, record);
+	emit_event(f, &ev, record);
 }
 
 void fleet_set_owner(struct fleet *f, struct fleet_service *s, uint32_t i,
@@ -93,17 +94,17 @@
 
 	sh->owner = owner;
 	sh->fence = offset;
-	emit(f, &ev, record);
+	emit_event(f, &ev, record);
 }
 
-void fleet_name_heir(struct shard *sh, int64_t heir, int64_t offset)
+void fleet_set_successor(struct shard *sh, int64_t successor, int64_t offset)
 {
-	sh->successor = heir;
-	sh->heir_fence = offset;
+	sh->successor = successor;
+	sh->successor_fence = offset;
 }
 
-static void assign_unowned(struct fleet *f, struct fleet_service *s,
-			   int64_t offset, const json_t *record)
+static void assign_unowned_shards(struct fleet *f, struct fleet_service *s,
+				  int64_t offset, const json_t *record)
 {
 	uint32_t i;
 
@@ -112,21 +113,22 @@
 		struct shard *sh = &s->shards[i];
 
 		if (!sh->owner) {
-			int64_t to = assign_pick(f, i, 0, 0);
+			int64_t to = assign_pick_member(f, i, 0, 0);
 
 			if (to)
 				fleet_set_owner(f, s, i, to, offset, record,
 						"unowned shard");
 		}
 		if (sh->owner && !sh->successor)
-			fleet_name_heir(sh, assign_pick(f, i, sh->owner, 0),
-					offset);
+			fleet_set_successor(
+				sh, assign_pick_member(f, i, sh->owner, 0),
+				offset);
 	}
 }
 
-/* Neighbours that go together to one heir make one row at its server. */
-static void name_successors(struct fleet *f, struct fleet_service *s,
-			    int64_t offset)
+/* Neighbours that go together to one successor make one row at its server. */
+static void assign_successors(struct fleet *f, struct fleet_service *s,
+			      int64_t offset)
 {
 	struct shard *last = NULL;
 	uint32_t i;
@@ -139,11 +141,12 @@
 			continue;
 		if (last && last == sh - 1 && last->owner == sh->owner &&
 		    last->successor) {
-			fleet_name_heir(sh, last->successor, offset);
-			fleet_member(f, last->successor)->claims++;
+			fleet_set_successor(sh, last->successor, offset);
+			fleet_member(f, last->successor)->n_assigned++;
 		} else {
-			fleet_name_heir(sh, assign_pick(f, i, sh->owner, 0),
-					offset);
+			fleet_set_successor(
+				sh, assign_pick_member(f, i, sh->owner, 0),
+				offset);
 		}
 		last = sh;
 	}
@@ -154,23 +157,23 @@
  * have joined. Given to whoever joins first they would move again at once, and
  * a move of a range costs its backend servers more than one of hashed keys.
  */
-static bool placed_by_record(const struct fleet_service *s)
+static bool needs_place_record(const struct fleet_service *s)
 {
 	return s->key_numbers;
 }
 
-static void on_more_members(struct fleet *f, struct fleet_service *s,
-			    int64_t offset, const json_t *record)
+static void assign_missing(struct fleet *f, struct fleet_service *s,
+			   int64_t offset, const json_t *record)
 {
-	if (placed_by_record(s))
-		name_successors(f, s, offset);
+	if (needs_place_record(s))
+		assign_successors(f, s, offset);
 	else
-		assign_unowned(f, s, offset, record);
+		assign_unowned_shards(f, s, offset, record);
 }
 
-static void inherit(struct fleet *f, struct fleet_service *s, uint32_t i,
-		    int64_t gone, int64_t offset, const json_t *record,
-		    const char *reason)
+static void remove_from_shard(struct fleet *f, struct fleet_service *s,
+			      uint32_t i, int64_t removed, int64_t offset,
+			      const json_t *record, const char *reason)
 {
 	struct shard *sh = &s->shards[i];
 
@@ -180,27 +183,29 @@
 	 * while it could not reach the log. Any other choice here would give
 	 * the key a second owner.
 	 */
-	if (sh->owner == gone) {
-		int64_t heir = sh->successor;
+	if (sh->owner == removed) {
+		int64_t successor = sh->successor;
 
 		sh->successor = 0;
-		if (!heir)
-			heir = assign_pick(f, i, 0, gone);
-		fleet_set_owner(f, s, i, heir, offset, record, reason);
+		if (!successor)
+			successor = assign_pick_member(f, i, 0, removed);
+		fleet_set_owner(f, s, i, successor, offset, record, reason);
 	}
-	if (sh->successor == gone) {
-		struct fleet_event ev = { .type = FLEET_SUCCESSOR_GONE,
+	if (sh->successor == removed) {
+		struct fleet_event ev = { .type = FLEET_SUCCESSOR_REMOVED,
 					  .offset = offset,
 					  .service = s->name,
 					  .shard = i,
-					  .from = gone,
+					  .from = removed,
 					  .reason = reason };
 
 		sh->successor = 0;
-		emit(f, &ev, record);
+		emit_event(f, &ev, record);
 	}
-	if (sh->owner && !sh->successor && !placed_by_record(s))
-		fleet_name_heir(sh, assign_pick(f, i, sh->owner, gone), offset);
+	if (sh->owner && !sh->successor && !needs_place_record(s))
+		fleet_set_successor(
+			sh, assign_pick_member(f, i, sh->owner, removed),
+			offset);
 }
 
 static void remove_member(struct fleet *f, int64_t id, int64_t offset,
@@ -212,7 +217,7 @@
 
 	if (witness_set_has(&copy.witnesses, LOG_WITNESS) ||
 	    witness_set_has(&copy.old_witnesses, LOG_WITNESS))
-		f->log_witnessed_gone = true;
+		f->log_witnessed_removed = true;
 	g_array_remove_index(f->members,
 			     m - &g_array_index(f->members, struct member, 0));
 	for (i = 0; i < f->n_services; i++) {
@@ -220,18 +225,19 @@
 			continue;
 		assign_prepare(f, &f->services[i]);
 		for (j = 0; j < f->services[i].n_shards; j++)
-			inherit(f, &f->services[i], j, id, offset, record,
-				reason);
+			remove_from_shard(f, &f->services[i], j, id, offset,
+					  record, reason);
 		/*
 		 * Picked one by one, heirs of neighbours alternate, and with
 		 * each loss the ranges of an owner fall into more rows than the
 		 * answer to a heartbeat can name; the server lets go what is
 		 * left out, and turns its requests away.
 		 */
-		if (placed_by_record(&f->services[i]))
-			name_successors(f, &f->services[i], offset);
+		if (needs_place_record(&f->services[i]))
+			assign_successors(f, &f->services[i], offset);
 	}
-	emit_member(f, FLEET_MEMBER_GONE, offset, &copy, record, reason);
+	emit_member_event(f, FLEET_MEMBER_REMOVED, offset, &copy, record,
+			  reason);
 }
 
 static int read_join(struct member *m, int64_t offset, const json_t *r)
@@ -239,18 +245,19 @@
 	memset(m, 0, sizeof(*m));
 	m->id = offset + 1;
 	m->witness_offset = offset;
-	m->process = number(r, "process");
+	m->process = get_number(r, "process");
 	if (!m->process)
 		m->process = m->id;
-	g_strlcpy(m->host, text(r, "host"), sizeof(m->host));
-	g_strlcpy(m->data_centre, text(r, "data_centre"),
+	g_strlcpy(m->host, get_text(r, "host"), sizeof(m->host));
+	g_strlcpy(m->data_centre, get_text(r, "data_centre"),
 		  sizeof(m->data_centre));
-	g_strlcpy(m->service, text(r, "service"), sizeof(m->service));
-	g_strlcpy(m->peer, text(r, "peer"), sizeof(m->peer));
-	g_strlcpy(m->caller, text(r, "caller"), sizeof(m->caller));
-	g_strlcpy(m->boot_id, text(r, "boot_id"), sizeof(m->boot_id));
-	g_strlcpy(m->nonce, text(r, "nonce"), sizeof(m->nonce));
-	g_strlcpy(m->life, text(r, "life"), sizeof(m->life));
+	g_strlcpy(m->service, get_text(r, "service"), sizeof(m->service));
+	g_strlcpy(m->peer, get_text(r, "peer"), sizeof(m->peer));
+	g_strlcpy(m->caller, get_text(r, "caller"), sizeof(m->caller));
+	g_strlcpy(m->boot_id, get_text(r, "boot_id"), sizeof(m->boot_id));
+	g_strlcpy(m->nonce, get_text(r, "nonce"), sizeof(m->nonce));
+	g_strlcpy(m->server_instance_id, get_text(r, "life"),
+		  sizeof(m->server_instance_id));
 	if (!m->host[0] || !m->peer[0])
 		return RESULT_INVALID;
 	return witness_set_from_json(&m->witnesses,
@@ -262,20 +269,20 @@
 		     const json_t *record, const char *reason)
 {
 	struct shard *sh = &s->shards[i];
-	int64_t from = sh->owner;
-	int64_t from_successor = sh->successor;
+	int64_t prev_owner = sh->owner;
+	int64_t prev_successor = sh->successor;
 
 	/* There is room for the predecessors of two moves, not of more. */
-	if (sh->earlier_from || owner == successor)
+	if (sh->older_owner || owner == successor)
 		return RESULT_STALE;
-	sh->earlier_from = sh->from;
-	sh->earlier_successor = sh->from_successor;
-	if (owner != from)
+	sh->older_owner = sh->prev_owner;
+	sh->older_successor = sh->prev_successor;
+	if (owner != prev_owner)
 		fleet_set_owner(f, s, i, owner, offset, record, reason);
-	fleet_name_heir(sh, successor, offset);
-	if (from) {
-		sh->from = from;
-		sh->from_successor = from_successor;
+	fleet_set_successor(sh, successor, offset);
+	if (prev_owner) {
+		sh->prev_owner = prev_owner;
+		sh->prev_successor = prev_successor;
 		sh->fence = offset;
 	}
 	return RESULT_OK;
@@ -292,19 +299,20 @@
 		return err;
 	old = fleet_member_by_host(f, m.host);
 	while (old && rejoin_supersedes(&m, old)) {
-		struct member gone = *old;
+		struct member removed = *old;
 
-		rejoin_take_over(f, &gone, &m, offset, r);
-		remove_member(f, gone.id, offset, r,
-			      rejoin_ended(&m, &gone) ? FLEET_REASON_ENDED
-						      : FLEET_REASON_RESTARTED);
+		rejoin_transfer_shards(f, &removed, &m, offset, r);
+		remove_member(f, removed.id, offset, r,
+			      rejoin_server_restarted(&m, &removed)
+				      ? FLEET_REASON_SERVER_RESTARTED
+				      : FLEET_REASON_RESTARTED);
 		old = fleet_member_by_host(f, m.host);
 	}
 	g_array_append_val(f->members, m);
-	emit_member(f, FLEET_MEMBER_JOINED, offset, &m, r, "joined");
+	emit_member_event(f, FLEET_MEMBER_JOINED, offset, &m, r, "joined");
 	s = fleet_service(f, m.service);
 	if (s)
-		on_more_members(f, s, offset, r);
+		assign_missing(f, s, offset, r);
 	return RESULT_OK;
 }
 
@@ -332,11 +340,11 @@
 		if (s->shards[i].owner)
 			continue;
 		if (!to)
-			to = assign_pick(f, from, 0, 0);
+			to = assign_pick_member(f, from, 0, 0);
 		if (!to)
 			return false;
 		fleet_set_owner(f, s, i, to, offset, r, "unowned shard");
-		fleet_member(f, to)->claims++;
+		fleet_member(f, to)->n_assigned++;
 	}
 	return to;
 }
@@ -344,7 +352,7 @@
 /* Owners first and then successors, so that both come out even. */
 static int apply_place(struct fleet *f, int64_t offset, const json_t *r)
 {
-	struct fleet_service *s = fleet_service(f, text(r, "service"));
+	struct fleet_service *s = fleet_service(f, get_text(r, "service"));
 	int result = RESULT_STALE;
 	uint32_t i;
 
@@ -354,7 +362,7 @@
 	for (i = 0; i < s->n_shards; i = block_end(s, i))
 		if (place_block(f, s, i, block_end(s, i), offset, r))
 			result = RESULT_OK;
-	name_successors(f, s, offset);
+	assign_successors(f, s, offset);
 	return result;
 }
 
@@ -367,7 +375,7 @@
 
 	json_array_foreach(list, i, item)
 	{
-		struct member *m = fleet_member(f, number(item, "id"));
+		struct member *m = fleet_member(f, get_number(item, "id"));
 
 		if (!m)
 			continue;
@@ -375,11 +383,11 @@
 		 * A proof gathered from witnesses that the member has since
 		 * replaced proves nothing: the new ones may vouch for it.
 		 */
-		if (m->witness_offset != number(item, "witness_offset")) {
+		if (m->witness_offset != get_number(item, "witness_offset")) {
 			result = result == RESULT_OK ? RESULT_OK : RESULT_STALE;
 			continue;
 		}
-		remove_member(f, m->id, offset, r, text(r, "reason"));
+		remove_member(f, m->id, offset, r, get_text(r, "reason"));
 		result = RESULT_OK;
 	}
 	return result;
@@ -398,17 +406,17 @@
 	if (s->shards[i].fence != base || !fleet_member(f, owner))
 		return RESULT_STALE;
 	/* Moves that can wait leave room for one that can not. */
-	if (s->shards[i].from)
+	if (s->shards[i].prev_owner)
 		return RESULT_STALE;
 	if (successor && !fleet_member(f, successor))
 		return RESULT_STALE;
 	return fleet_move_shard(f, s, i, owner, successor, offset, r,
-				text(r, "reason"));
+				get_text(r, "reason"));
 }
 
 static int apply_move(struct fleet *f, int64_t offset, const json_t *r)
 {
-	struct fleet_service *s = fleet_service(f, text(r, "service"));
+	struct fleet_service *s = fleet_service(f, get_text(r, "service"));
 	int result = RESULT_STALE;
 	json_t *item;
 	size_t i;
@@ -423,8 +431,8 @@
 
 static int apply_settle(struct fleet *f, int64_t offset, const json_t *r)
 {
-	struct member *m = fleet_member(f, number(r, "member"));
-	int64_t upto = number(r, "upto");
+	struct member *m = fleet_member(f, get_number(r, "member"));
+	int64_t upto = get_number(r, "upto");
 	uint32_t i, j;
 
 	if (!m)
@@ -446,19 +454,19 @@
 
 			if (sh->owner != m->id || sh->fence > upto)
 				continue;
-			sh->from = 0;
-			sh->from_successor = 0;
-			sh->earlier_from = 0;
-			sh->earlier_successor = 0;
+			sh->prev_owner = 0;
+			sh->prev_successor = 0;
+			sh->older_owner = 0;
+			sh->older_successor = 0;
 		}
 	}
-	emit_member(f, FLEET_SETTLED, offset, m, r, "settled");
+	emit_member_event(f, FLEET_MEMBER_SETTLED, offset, m, r, "settled");
 	return RESULT_OK;
 }
 
 static int apply_witnesses(struct fleet *f, int64_t offset, const json_t *r)
 {
-	struct member *m = fleet_member(f, number(r, "member"));
+	struct member *m = fleet_member(f, get_number(r, "member"));
 	struct witness_set w;
 
 	if (!m)
@@ -470,13 +478,14 @@
 	 * one, which is kept by a second change before that: the set between
 	 * was never served by, and goes.
 	 */
-	if (m->witness_offset != number(r, "base"))
+	if (m->witness_offset != get_number(r, "base"))
 		return RESULT_STALE;
 	if (!m->old_witnesses.n)
 		m->old_witnesses = m->witnesses;
 	m->witnesses = w;
 	m->witness_offset = offset;
-	emit_member(f, FLEET_WITNESSES_CHANGED, offset, m, r, "witnesses");
+	emit_member_event(f, FLEET_WITNESSES_CHANGED, offset, m, r,
+			  "witnesses");
 	return RESULT_OK;
 }
 
@@ -511,15 +520,15 @@
 	}
 }
 
-static bool member_takes_work(const struct fleet *f, int64_t id)
+static bool member_in_service(const struct fleet *f, int64_t id)
 {
 	struct member *m = fleet_member(f, id);
 
-	return m && fleet_member_takes_work(f, m);
+	return m && fleet_member_in_service(f, m);
 }
 
-static void move_out_of_service(struct fleet *f, struct fleet_service *s,
-				int64_t offset, const json_t *record)
+static void evacuate_shards(struct fleet *f, struct fleet_service *s,
+			    int64_t offset, const json_t *record)
 {
 	uint32_t i;
 
@@ -532,48 +541,51 @@
 	for (i = 0; i < s->n_shards; i++) {
 		struct shard *sh = &s->shards[i];
 		int64_t to = sh->owner;
-		int64_t heir = sh->successor;
+		int64_t successor = sh->successor;
 
 		if (!to)
 			continue;
-		if (!member_takes_work(f, to))
-			to = member_takes_work(f, heir)
-				     ? heir
-				     : assign_pick(f, i, 0, to);
+		if (!member_in_service(f, to))
+			to = member_in_service(f, successor)
+				     ? successor
+				     : assign_pick_member(f, i, 0, to);
 		if (!to)
 			continue;
-		if (heir == to || !member_takes_work(f, heir))
-			heir = assign_pick(f, i, to, 0);
-		if (to != sh->owner || (heir && heir != sh->successor))
-			fleet_move_shard(f, s, i, to, heir, offset, record,
+		if (successor == to || !member_in_service(f, successor))
+			successor = assign_pick_member(f, i, to, 0);
+		if (to != sh->owner ||
+		    (successor && successor != sh->successor))
+			fleet_move_shard(f, s, i, to, successor, offset, record,
 					 "data centre out of service");
 	}
 }
 
-static void emit_refused(struct fleet *f, int64_t offset, const json_t *record,
-			 const char *errors)
+static void emit_configuration_refused(struct fleet *f, int64_t offset,
+				       const json_t *record, const char *errors)
 {
 	g_autofree char *first = g_strndup(errors, strcspn(errors, "\n"));
 	struct fleet_event ev = { .type = FLEET_CONFIGURATION_REFUSED,
 				  .offset = offset,
 				  .reason = first };
 
-	emit(f, &ev, record);
+	emit_event(f, &ev, record);
 }
 
 /* What follows from the configuration that is in force now. */
-static void on_configured(struct fleet *f, int64_t offset, const json_t *r)
+static void on_configuration_changed(struct fleet *f, int64_t offset,
+				     const json_t *r)
 {
-	struct fleet_event ev = { .type = FLEET_CONFIGURED, .offset = offset };
+	struct fleet_event ev = { .type = FLEET_CONFIGURATION_CHANGED,
+				  .offset = offset };
 	uint32_t i;
 
 	f->configuration_version = offset;
 	add_services(f);
 	for (i = 0; i < f->n_services; i++) {
-		on_more_members(f, &f->services[i], offset, r);
-		move_out_of_service(f, &f->services[i], offset, r);
+		assign_missing(f, &f->services[i], offset, r);
+		evacuate_shards(f, &f->services[i], offset, r);
 	}
-	emit(f, &ev, r);
+	emit_event(f, &ev, r);
 }
 
 /* A whole configuration in place of the one that it was based on. */
@@ -584,7 +596,7 @@
 	struct json_check c;
 	int err;
 
-	if (number(r, "base") != f->configuration_version)
+	if (get_number(r, "base") != f->configuration_version)
 		return RESULT_STALE;
 	cfg = g_new0(struct configuration, 1);
 	json_check_init(&c, "record");
@@ -594,9 +606,9 @@
 		f->configuration = *cfg;
 		json_decref(f->document);
 		f->document = json_incref(doc);
-		on_configured(f, offset, r);
+		on_configuration_changed(f, offset, r);
 	} else {
-		emit_refused(f, offset, r, c.errors->str);
+		emit_configuration_refused(f, offset, r, c.errors->str);
 		configuration_finish(cfg);
 	}
 	json_check_finish(&c);
@@ -604,8 +616,8 @@
 	return err;
 }
 
-/* Who has read less may not know which data centres have gone out since. */
-static void keep_data_centres(json_t *changes)
+/* Who has read less may not know which data centres have removed out since. */
+static void discard_data_centre_changes(json_t *changes)
 {
 	json_t *set = json_copy(json_object_get(changes, "set"));
 
@@ -619,57 +631,57 @@
  */
 static int apply_changes(struct fleet *f, int64_t offset, const json_t *r)
 {
-	int64_t source = number(r, "source");
+	int64_t source = get_number(r, "source");
 	json_t *changes = json_object_get(r, "changes");
-	int64_t version = number(changes, "version");
+	int64_t version = get_number(changes, "version");
 	struct json_check c;
 	int err;
 
-	if (number(r, "base") != f->configuration_version ||
-	    source <= f->source || version < f->version_begun)
+	if (get_number(r, "base") != f->configuration_version ||
+	    source <= f->source_offset || version < f->partial_version)
 		return RESULT_STALE;
 	changes = json_copy(changes);
-	if (source < f->source_begun)
-		keep_data_centres(changes);
+	if (source < f->partial_source_offset)
+		discard_data_centre_changes(changes);
 	json_check_init(&c, "record");
 	err = changes_apply(&f->configuration, &f->document, changes, &c);
 	if (err)
-		emit_refused(f, offset, r, c.errors->str);
+		emit_configuration_refused(f, offset, r, c.errors->str);
 	json_check_finish(&c);
 	json_decref(changes);
-	f->source_begun = MAX(f->source_begun, source);
-	f->version_begun = version;
+	f->partial_source_offset = MAX(f->partial_source_offset, source);
+	f->partial_version = version;
 	/* One that cannot be used has been looked at, or it comes for ever. */
 	if (err || json_is_true(json_object_get(r, "whole")))
-		f->source = source;
+		f->source_offset = source;
 	if (!err)
-		on_configured(f, offset, r);
+		on_configuration_changed(f, offset, r);
 	return err;
 }
 
 static int apply_snapshot(struct fleet *f, int64_t offset, const json_t *r)
 {
-	int64_t upto = number(r, "upto");
-	int64_t part = number(r, "part");
+	int64_t upto = get_number(r, "upto");
+	int64_t part = get_number(r, "part");
 
 	if (part == 0) {
 		f->snapshot_upto = upto;
-		f->snapshot_part = 0;
+		f->next_snapshot_part = 0;
 	}
-	if (upto != f->snapshot_upto || part != f->snapshot_part)
+	if (upto != f->snapshot_upto || part != f->next_snapshot_part)
 		return RESULT_STALE;
-	f->snapshot_part++;
-	if (f->snapshot_part == number(r, "parts"))
+	f->next_snapshot_part++;
+	if (f->next_snapshot_part == get_number(r, "parts"))
 		f->snapshot_offset = offset;
 	return RESULT_OK;
 }
 
-struct record_kind {
+struct record_type {
 	const char *type;
 	int (*apply)(struct fleet *f, int64_t offset, const json_t *r);
 };
 
-static const struct record_kind kinds[] = {
+static const struct record_type record_types[] = {
 	{ "join", apply_join },
 	{ "expel", apply_expel },
 	{ "move", apply_move },
@@ -681,7 +693,7 @@
 	{ "snapshot", apply_snapshot },
 };
 
-static bool seen_before(struct fleet *f, const char *append_id)
+static bool is_duplicate_append(struct fleet *f, const char *append_id)
 {
 	uint64_t h = hash_string(append_id);
 	uint32_t i;
@@ -689,28 +701,30 @@
 	if (!append_id[0])
 		return false;
 	for (i = 0; i < FLEET_RECENT_APPENDS; i++)
-		if (f->recent[i] == h)
+		if (f->recent_append_hashes[i] == h)
 			return true;
-	f->recent[f->recent_next] = h;
-	f->recent_next = (f->recent_next + 1) % FLEET_RECENT_APPENDS;
+	f->recent_append_hashes[f->recent_append_next] = h;
+	f->recent_append_next =
+		(f->recent_append_next + 1) % FLEET_RECENT_APPENDS;
 	return false;
 }
 
-static int apply_kind(struct fleet *f, int64_t offset, const json_t *record)
+static int apply_by_type(struct fleet *f, int64_t offset, const json_t *record)
 {
-	const char *type = text(record, "type");
+	const char *type = get_text(record, "type");
 	uint32_t i;
 
-	for (i = 0; i < G_N_ELEMENTS(kinds); i++)
-		if (!strcmp(kinds[i].type, type))
-			return kinds[i].apply(f, offset, record);
+	for (i = 0; i < G_N_ELEMENTS(record_types); i++)
+		if (!strcmp(record_types[i].type, type))
+			return record_types[i].apply(f, offset, record);
 	return RESULT_INVALID;
 }
 
 int fleet_apply(struct fleet *f, int64_t offset, const char *append_id,
 		const json_t *record)
 {
-	struct fleet_event ev = { .type = FLEET_DROPPED, .offset = offset };
+	struct fleet_event ev = { .type = FLEET_RECORD_DROPPED,
+				  .offset = offset };
 	int err;
 
 	if (offset != f->applied + 1)
@@ -720,14 +734,14 @@
 	 * A writer whose answer was lost may append the same record again;
 	 * the second copy must not, say, make a member supersede itself.
 	 */
-	if (seen_before(f, append_id))
+	if (is_duplicate_append(f, append_id))
 		err = RESULT_DUPLICATE;
 	else
-		err = apply_kind(f, offset, record);
+		err = apply_by_type(f, offset, record);
 	if (err) {
 		ev.result = err;
-		ev.reason = text(record, "type");
-		emit(f, &ev, record);
+		ev.reason = get_text(record, "type");
+		emit_event(f, &ev, record);
 	}
 	return err;
 }
--- a/state/fleet.h
+++ b/state/fleet.h
@@ -24,14 +24,14 @@
 /* Why a member went: its host runs a newer incarnation. */
 #define FLEET_REASON_RESTARTED "restarted"
 /* The same, and what its backend server held ended with that server. */
-#define FLEET_REASON_ENDED "restarted with its backend server"
+#define FLEET_REASON_SERVER_RESTARTED "restarted with its backend server"
 /* The same, and its backend server lived on: the new process keeps its keys. */
-#define FLEET_REASON_ADOPTED "restarted beside its backend server"
+#define FLEET_REASON_SERVER_KEPT "restarted beside its backend server"
 #define HOST_MAX_LEN 63
 #define ADDRESS_MAX_LEN 63
 #define BOOT_ID_MAX_LEN 39
 #define NONCE_MAX_LEN 23
-#define LIFE_MAX_LEN 63
+#define SERVER_INSTANCE_ID_MAX_LEN 63
 
 /*
  * Stands in a witness set for the log itself: while a fleet is too small for
@@ -62,13 +62,13 @@
 	char boot_id[BOOT_ID_MAX_LEN + 1];
 	char nonce[NONCE_MAX_LEN + 1]; /* tells a process its own join record */
 	/* One life of the backend server beside the node, "" not told. */
-	char life[LIFE_MAX_LEN + 1];
+	char server_instance_id[SERVER_INSTANCE_ID_MAX_LEN + 1];
 	struct witness_set witnesses;
 	/* The set before, until the member settles the new one. */
 	struct witness_set old_witnesses;
 	int64_t witness_offset; /* record that set the witnesses */
 	/* Scratch of assign_prepare(), no part of the state. */
-	uint32_t claims;
+	uint32_t n_assigned;
 	bool candidate;
 };
 
@@ -82,16 +82,16 @@
 	 * have done under its own: with the shard's fence alone both would
 	 * have the same.
 	 */
-	int64_t heir_fence;
+	int64_t successor_fence;
 	/*
 	 * Set while a move is not settled: the owner and successor before it,
 	 * either of which may still be serving the shard.
 	 */
-	int64_t from;
-	int64_t from_successor;
+	int64_t prev_owner;
+	int64_t prev_successor;
 	/* The same of a move before that one, when that was not settled. */
-	int64_t earlier_from;
-	int64_t earlier_successor;
+	int64_t older_owner;
+	int64_t older_successor;
 };
 
 struct fleet_service {
@@ -103,14 +103,14 @@
 
 enum fleet_event_type {
 	FLEET_MEMBER_JOINED,
-	FLEET_MEMBER_GONE,
+	FLEET_MEMBER_REMOVED,
 	FLEET_SHARD_MOVED,
-	FLEET_SUCCESSOR_GONE,
-	FLEET_CONFIGURED,
+	FLEET_SUCCESSOR_REMOVED,
+	FLEET_CONFIGURATION_CHANGED,
 	FLEET_CONFIGURATION_REFUSED,
 	FLEET_WITNESSES_CHANGED,
-	FLEET_SETTLED,
-	FLEET_DROPPED,
+	FLEET_MEMBER_SETTLED,
+	FLEET_RECORD_DROPPED,
 };
 
 /* One change made by a record. The strings live only during the call. */
@@ -123,7 +123,7 @@
 	int64_t from; /* moved: owner before; successor gone: that one */
 	int64_t to; /* moved: owner now */
 	int64_t fence_before; /* moved: the fence of the owner before */
-	const char *by; /* who wrote the record */
+	const char *written_by; /* who wrote the record */
 	const char *reason; /* configuration refused: what is wrong with it */
 	int result; /* dropped: why */
 };
@@ -142,21 +142,23 @@
 	 * How far the stream in which operators publish was read for it, when
 	 * that is another stream; -1 none.
 	 */
-	int64_t source;
+	int64_t source_offset;
 	/* The same of changes that are in force in part, or source; and the
 	 * operators' version that these lead to. */
-	int64_t source_begun;
-	int64_t version_begun;
+	int64_t partial_source_offset;
+	int64_t partial_version;
 	/*
 	 * Whether a member whose witness was the log has ever gone: it may have
 	 * served for a lease after its last read. See member/holds.c.
 	 */
-	bool log_witnessed_gone;
-	uint64_t recent[FLEET_RECENT_APPENDS]; /* ids of appends seen */
-	uint32_t recent_next;
+	bool log_witnessed_removed;
+	uint64_t recent_append_hashes[FLEET_RECENT_APPENDS]; /* ids of appends
+								seen */
+	uint32_t recent_append_next;
 	int64_t snapshot_offset; /* last record of a whole snapshot, -1 none */
 	int64_t snapshot_upto;
-	int64_t snapshot_part; /* next part expected of the one being written */
+	int64_t next_snapshot_part; /* next part expected of the one being
+				       written */
 	fleet_event_fn on_event;
 	void *on_event_user;
 };
@@ -179,7 +181,7 @@
 uint32_t fleet_n_members(const struct fleet *f);
 struct member *fleet_member_at(const struct fleet *f, uint32_t i);
 struct fleet_service *fleet_service(const struct fleet *f, const char *name);
-bool fleet_member_takes_work(const struct fleet *f, const struct member *m);
+bool fleet_member_in_service(const struct fleet *f, const struct member *m);
 
 /*
  * The shard that a key falls into. Returns RESULT_OK, or RESULT_INVALID when
@@ -196,18 +198,18 @@
 
 /* state/assign.c: deterministic choices over the state. */
 void assign_prepare(const struct fleet *f, const struct fleet_service *s);
-int64_t assign_pick(const struct fleet *f, uint32_t shard, int64_t owner,
-		    int64_t avoid);
+int64_t assign_pick_member(const struct fleet *f, uint32_t shard, int64_t owner,
+			   int64_t avoid);
 void assign_witnesses(const struct fleet *f, const struct member *subject,
 		      const struct witness_set *avoid, int64_t newer_than,
 		      struct witness_set *out);
 json_t *assign_balance(const struct fleet *f, const struct fleet_service *s,
 		       uint32_t max_moves);
-GArray *assign_readers(const struct fleet *f);
-uint32_t assign_rank(const struct fleet *f, const char *matter, int64_t id);
+GArray *assign_log_readers(const struct fleet *f);
+uint32_t assign_rank(const struct fleet *f, const char *task, int64_t id);
 
 /* state/snapshot.c: the whole state as JSON and back. */
 json_t *fleet_snapshot(const struct fleet *f);
-int fleet_load(struct fleet *f, const json_t *snapshot);
+int fleet_load_snapshot(struct fleet *f, const json_t *snapshot);
 
 #endif
--- a/state/internal.h
+++ b/state/internal.h
@@ -12,15 +12,15 @@
 void fleet_set_owner(struct fleet *f, struct fleet_service *s, uint32_t i,
 		     int64_t owner, int64_t offset, const json_t *record,
 		     const char *reason);
-void fleet_name_heir(struct shard *sh, int64_t heir, int64_t offset);
+void fleet_set_successor(struct shard *sh, int64_t successor, int64_t offset);
 
 struct fleet_service *fleet_add_service(struct fleet *f);
 
 /* state/rejoin.c */
 bool rejoin_supersedes(const struct member *m, const struct member *old);
-bool rejoin_ended(const struct member *m, const struct member *old);
-void rejoin_take_over(struct fleet *f, const struct member *old,
-		      const struct member *m, int64_t offset,
-		      const json_t *record);
+bool rejoin_server_restarted(const struct member *m, const struct member *old);
+void rejoin_transfer_shards(struct fleet *f, const struct member *old,
+			    const struct member *m, int64_t offset,
+			    const json_t *record);
 
 #endif
--- a/state/lookup.c
+++ b/state/lookup.c
@@ -75,7 +75,7 @@
 }
 
 /* Tell whether operators let the member's data centre take work. */
-bool fleet_member_takes_work(const struct fleet *f, const struct member *m)
+bool fleet_member_in_service(const struct fleet *f, const struct member *m)
 {
 	return configuration_in_service(&f->configuration, m->data_centre);
 }
--- a/state/records.c
+++ b/state/records.c
@@ -1,7 +1,7 @@
 #include "state/records.h"
 #include "util/result.h"
 
-static json_t *make(const char *type)
+static json_t *new_record(const char *type)
 {
 	json_t *r = json_object();
 
@@ -51,7 +51,7 @@
 /* A new incarnation of a host asks to be a member. */
 json_t *record_join(const struct member *m)
 {
-	json_t *r = make("join");
+	json_t *r = new_record("join");
 
 	set_text(r, "host", m->host);
 	set_text(r, "data_centre", m->data_centre);
@@ -60,8 +60,8 @@
 	set_text(r, "caller", m->caller);
 	set_text(r, "boot_id", m->boot_id);
 	set_text(r, "nonce", m->nonce);
-	if (m->life[0])
-		set_text(r, "life", m->life);
+	if (m->server_instance_id[0])
+		set_text(r, "life", m->server_instance_id);
 	set_number(r, "process", m->process);
 	json_object_set_new(r, "witnesses", witness_set_to_json(&m->witnesses));
 	return r;
@@ -70,7 +70,7 @@
 /* Members proved to have stopped leave; add each with record_expel_add(). */
 json_t *record_expel(int64_t by, const char *reason)
 {
-	json_t *r = make("expel");
+	json_t *r = new_record("expel");
 
 	json_object_set_new(r, "members", json_array());
 	set_number(r, "by", by);
@@ -91,7 +91,7 @@
 /* A batch of planned moves of one service's shards. */
 json_t *record_move(const char *service, int64_t by, const char *reason)
 {
-	json_t *r = make("move");
+	json_t *r = new_record("move");
 
 	set_text(r, "service", service);
 	json_object_set_new(r, "items", json_array());
@@ -116,7 +116,7 @@
 /* The shards of a service that nobody owns go to its members. */
 json_t *record_place(const char *service, int64_t by)
 {
-	json_t *r = make("place");
+	json_t *r = new_record("place");
 
 	set_text(r, "service", service);
 	set_number(r, "by", by);
@@ -129,7 +129,7 @@
  */
 json_t *record_settle(int64_t member, int64_t upto)
 {
-	json_t *r = make("settle");
+	json_t *r = new_record("settle");
 
 	set_number(r, "member", member);
 	set_number(r, "upto", upto);
@@ -140,7 +140,7 @@
 json_t *record_witnesses(int64_t member, int64_t base,
 			 const struct witness_set *w)
 {
-	json_t *r = make("witnesses");
+	json_t *r = new_record("witnesses");
 
 	set_number(r, "member", member);
 	set_number(r, "base", base);
@@ -152,7 +152,7 @@
 json_t *record_configuration(int64_t base, json_t *document, const char *by,
 			     const char *reason)
 {
-	json_t *r = make("configuration");
+	json_t *r = new_record("configuration");
 
 	set_number(r, "base", base);
 	json_object_set(r, "document", document);
@@ -166,14 +166,14 @@
  * worked out from what operators published up to source; takes them over.
  */
 json_t *record_changes(int64_t base, json_t *changes, int64_t source,
-		       bool whole, int64_t by)
+		       bool complete, int64_t by)
 {
-	json_t *r = make("changes");
+	json_t *r = new_record("changes");
 
 	set_number(r, "base", base);
 	json_object_set_new(r, "changes", changes);
 	set_number(r, "source", source);
-	json_object_set_new(r, "whole", json_boolean(whole));
+	json_object_set_new(r, "whole", json_boolean(complete));
 	set_number(r, "by", by);
 	set_text(r, "reason", "published");
 	return r;
@@ -183,7 +183,7 @@
 json_t *record_snapshot(int64_t upto, uint32_t part, uint32_t parts,
 			const char *data, size_t len)
 {
-	json_t *r = make("snapshot");
+	json_t *r = new_record("snapshot");
 
 	set_number(r, "upto", upto);
 	set_number(r, "part", part);
--- a/state/records.h
+++ b/state/records.h
@@ -22,7 +22,7 @@
 json_t *record_configuration(int64_t base, json_t *document, const char *by,
 			     const char *reason);
 json_t *record_changes(int64_t base, json_t *changes, int64_t source,
-		       bool whole, int64_t by);
+		       bool complete, int64_t by);
 json_t *record_snapshot(int64_t upto, uint32_t part, uint32_t parts,
 			const char *data, size_t len);
 
--- a/state/rejoin.c
+++ b/state/rejoin.c
@@ -21,25 +21,26 @@
 }
 
 /* Whether the backend server that the earlier incarnation had is gone too. */
-bool rejoin_ended(const struct member *m, const struct member *old)
+bool rejoin_server_restarted(const struct member *m, const struct member *old)
 {
-	return m->life[0] && old->life[0] && strcmp(old->life, m->life);
+	return m->server_instance_id[0] && old->server_instance_id[0] &&
+	       strcmp(old->server_instance_id, m->server_instance_id);
 }
 
 /*
- * Whether the keys of a host that joined again stay there. Beside a backend
+ * Whether the keys of a host that joined again keep there. Beside a backend
  * server that lived on they do: given to the heirs they would have to be let
  * go and taken up elsewhere, and move back later. With a new process and a new
  * life the whole host was off, most likely with many others, and moving would
  * pile the keys of all on those who come back first. A server that started
  * again beside its process is cold, and its heirs are warm.
  */
-static bool keys_stay(const struct fleet_service *s, const struct member *old,
-		      const struct member *m)
+static bool keeps_shards(const struct fleet_service *s,
+			 const struct member *old, const struct member *m)
 {
-	if (!m->life[0] || !old->life[0])
+	if (!m->server_instance_id[0] || !old->server_instance_id[0])
 		return false;
-	return !rejoin_ended(m, old) ||
+	return !rejoin_server_restarted(m, old) ||
 	       (s->key_numbers && old->process != m->process);
 }
 
@@ -47,8 +48,9 @@
  * The new incarnation takes a shard over, and serves it once the successor,
  * who may have taken over by now, says that it does not hold it.
  */
-static void adopt(struct fleet *f, struct fleet_service *s, uint32_t i,
-		  const struct member *m, int64_t offset, const json_t *record)
+static void transfer_shard(struct fleet *f, struct fleet_service *s, uint32_t i,
+			   const struct member *m, int64_t offset,
+			   const json_t *record)
 {
 	struct shard *sh = &s->shards[i];
 
@@ -58,15 +60,15 @@
 	 * room its keys went to the heirs. Its own incarnations are all gone,
 	 * so one place with the same successor tells as much as two.
 	 */
-	if (sh->from && !fleet_member(f, sh->from) &&
-	    sh->from_successor == sh->successor) {
+	if (sh->prev_owner && !fleet_member(f, sh->prev_owner) &&
+	    sh->prev_successor == sh->successor) {
 		fleet_set_owner(f, s, i, m->id, offset, record,
-				FLEET_REASON_ADOPTED);
-		fleet_name_heir(sh, sh->successor, offset);
+				FLEET_REASON_SERVER_KEPT);
+		fleet_set_successor(sh, sh->successor, offset);
 		return;
 	}
 	fleet_move_shard(f, s, i, m->id, sh->successor, offset, record,
-			 FLEET_REASON_ADOPTED);
+			 FLEET_REASON_SERVER_KEPT);
 }
 
 /*
@@ -77,33 +79,35 @@
  * restart: with all processes killed at once that added up to seven seconds
  * without an owner, and to under three with this.
  */
-static void answer_for(struct shard *sh, int64_t old, int64_t new,
-		       int64_t offset)
+static void replace_as_successor(struct shard *sh, int64_t old, int64_t new,
+				 int64_t offset)
 {
 	if (sh->successor == old)
-		fleet_name_heir(sh, sh->owner == new ? 0 : new, offset);
-	if (sh->from_successor == old)
-		sh->from_successor = new;
-	if (sh->earlier_successor == old)
-		sh->earlier_successor = new;
+		fleet_set_successor(sh, sh->owner == new ? 0 : new, offset);
+	if (sh->prev_successor == old)
+		sh->prev_successor = new;
+	if (sh->older_successor == old)
+		sh->older_successor = new;
 }
 
 /* Give m what its host's earlier incarnation had, before that one goes. */
-void rejoin_take_over(struct fleet *f, const struct member *old,
-		      const struct member *m, int64_t offset,
-		      const json_t *record)
+void rejoin_transfer_shards(struct fleet *f, const struct member *old,
+			    const struct member *m, int64_t offset,
+			    const json_t *record)
 {
 	struct fleet_service *s = fleet_service(f, m->service);
-	bool stay;
+	bool keep;
 	uint32_t i;
 
 	if (!s || strcmp(old->service, m->service))
 		return;
-	stay = keys_stay(s, old, m);
+	keep = keeps_shards(s, old, m);
 	for (i = 0; i < s->n_shards; i++) {
-		if (stay && s->shards[i].owner == old->id)
-			adopt(f, s, i, m, offset, record);
-		if (s->key_numbers && m->life[0] && old->life[0])
-			answer_for(&s->shards[i], old->id, m->id, offset);
+		if (keep && s->shards[i].owner == old->id)
+			transfer_shard(f, s, i, m, offset, record);
+		if (s->key_numbers && m->server_instance_id[0] &&
+		    old->server_instance_id[0])
+			replace_as_successor(&s->shards[i], old->id, m->id,
+					     offset);
 	}
 }
--- a/state/scan.c
+++ b/state/scan.c
@@ -6,11 +6,11 @@
 
 struct snapshot_parts {
 	uint32_t n_parts;
-	uint32_t n_have;
+	uint32_t n_received;
 	char **data;
 };
 
-static void parts_free(gpointer p)
+static void snapshot_parts_free(gpointer p)
 {
 	struct snapshot_parts *s = p;
 	uint32_t i;
@@ -34,7 +34,7 @@
 {
 	s->records = g_ptr_array_new_with_free_func(record_free);
 	s->snapshots = g_hash_table_new_full(g_int64_hash, g_int64_equal,
-					     g_free, parts_free);
+					     g_free, snapshot_parts_free);
 }
 
 void log_scan_finish(struct log_scan *s)
@@ -70,7 +70,7 @@
 	if (s->data[part])
 		return;
 	s->data[part] = g_strdup(data);
-	s->n_have++;
+	s->n_received++;
 }
 
 void log_scan_add(struct log_scan *s, int64_t offset, const char *id,
@@ -87,7 +87,8 @@
 		add_part(s, record);
 }
 
-static bool find_newest(struct log_scan *s, int64_t after, int64_t *upto)
+static bool find_newest_snapshot(struct log_scan *s, int64_t after,
+				 int64_t *upto)
 {
 	GHashTableIter it;
 	gpointer key, value;
@@ -98,7 +99,7 @@
 		const struct snapshot_parts *p = value;
 		int64_t at = *(int64_t *)key;
 
-		if (p->n_have < p->n_parts || at <= after ||
+		if (p->n_received < p->n_parts || at <= after ||
 		    (found && at < *upto))
 			continue;
 		found = true;
@@ -112,7 +113,7 @@
 	json_t *state = NULL;
 	int64_t upto;
 
-	while (!state && find_newest(s, after, &upto)) {
+	while (!state && find_newest_snapshot(s, after, &upto)) {
 		struct snapshot_parts *p =
 			g_hash_table_lookup(s->snapshots, &upto);
 		GString *text = g_string_new(NULL);
--- a/state/snapshot.c
+++ b/state/snapshot.c
@@ -6,7 +6,7 @@
 #include "util/result.h"
 
 #define SNAPSHOT_FORMAT 4
-#define SHARD_NUMBERS 8
+#define NUMBERS_PER_SHARD 8
 
 static json_t *member_to_json(const struct member *m)
 {
@@ -28,14 +28,10 @@
 
 	for (i = 0; i < s->n_shards; i++) {
 		const struct shard *sh = &s->shards[i];
-		int64_t v[] = { sh->owner,
-				sh->successor,
-				sh->fence,
-				sh->from,
-				sh->from_successor,
-				sh->earlier_from,
-				sh->earlier_successor,
-				sh->heir_fence };
+		int64_t v[] = { sh->owner,	     sh->successor,
+				sh->fence,	     sh->prev_owner,
+				sh->prev_successor,  sh->older_owner,
+				sh->older_successor, sh->successor_fence };
 		uint32_t j;
 
 		for (j = 0; j < G_N_ELEMENTS(v); j++)
@@ -68,11 +64,14 @@
 		json_array_append_new(services, o);
 	}
 	for (i = 0; i < FLEET_RECENT_APPENDS; i++) {
-		uint32_t at = (f->recent_next + i) % FLEET_RECENT_APPENDS;
+		uint32_t at =
+			(f->recent_append_next + i) % FLEET_RECENT_APPENDS;
 
-		if (f->recent[at])
+		if (f->recent_append_hashes[at])
 			json_array_append_new(
-				recent, json_integer((int64_t)f->recent[at]));
+				recent,
+				json_integer(
+					(int64_t)f->recent_append_hashes[at]));
 	}
 	json_object_set_new(out, "format", json_integer(SNAPSHOT_FORMAT));
 	json_object_set_new(out, "applied", json_integer(f->applied));
@@ -83,14 +82,15 @@
 		json_object_set(out, "document", f->document);
 	json_object_set_new(out, "configuration_version",
 			    json_integer(f->configuration_version));
-	json_object_set_new(out, "source", json_integer(f->source));
-	json_object_set_new(out, "source_begun", json_integer(f->source_begun));
+	json_object_set_new(out, "source", json_integer(f->source_offset));
+	json_object_set_new(out, "source_begun",
+			    json_integer(f->partial_source_offset));
 	json_object_set_new(out, "version_begun",
-			    json_integer(f->version_begun));
+			    json_integer(f->partial_version));
 	json_object_set_new(out, "snapshot_upto",
 			    json_integer(f->snapshot_upto));
 	json_object_set_new(out, "log_witnessed_gone",
-			    json_boolean(f->log_witnessed_gone));
+			    json_boolean(f->log_witnessed_removed));
 	return out;
 }
 
@@ -117,7 +117,8 @@
 	copy_text(m.caller, sizeof(m.caller), o, "caller");
 	copy_text(m.boot_id, sizeof(m.boot_id), o, "boot_id");
 	copy_text(m.nonce, sizeof(m.nonce), o, "nonce");
-	copy_text(m.life, sizeof(m.life), o, "life");
+	copy_text(m.server_instance_id, sizeof(m.server_instance_id), o,
+		  "life");
 	if (witness_set_from_json(&m.witnesses,
 				  json_object_get(o, "witnesses")))
 		return RESULT_INVALID;
@@ -135,7 +136,7 @@
 	int64_t n = json_integer_value(json_object_get(o, "n_shards"));
 	uint32_t i;
 
-	if (n <= 0 || json_array_size(list) != (size_t)n * SHARD_NUMBERS)
+	if (n <= 0 || json_array_size(list) != (size_t)n * NUMBERS_PER_SHARD)
 		return RESULT_INVALID;
 	s = fleet_add_service(f);
 	copy_text(s->name, sizeof(s->name), o, "name");
@@ -144,24 +145,22 @@
 	s->shards = g_new0(struct shard, n);
 	for (i = 0; i < n; i++) {
 		struct shard *sh = &s->shards[i];
-		int64_t *field[] = { &sh->owner,
-				     &sh->successor,
-				     &sh->fence,
-				     &sh->from,
-				     &sh->from_successor,
-				     &sh->earlier_from,
-				     &sh->earlier_successor,
-				     &sh->heir_fence };
+		int64_t *field[] = {
+			&sh->owner,	      &sh->successor,
+			&sh->fence,	      &sh->prev_owner,
+			&sh->prev_successor,  &sh->older_owner,
+			&sh->older_successor, &sh->successor_fence
+		};
 		uint32_t j;
 
 		for (j = 0; j < G_N_ELEMENTS(field); j++)
-			*field[j] = json_integer_value(
-				json_array_get(list, i * SHARD_NUMBERS + j));
+			*field[j] = json_integer_value(json_array_get(
+				list, i * NUMBERS_PER_SHARD + j));
 	}
 	return RESULT_OK;
 }
 
-static int load_document(struct fleet *f, const json_t *o)
+static int load_configuration(struct fleet *f, const json_t *o)
 {
 	json_t *doc = json_object_get(o, "document");
 	struct json_check c;
@@ -169,10 +168,10 @@
 
 	f->configuration_version =
 		json_integer_value(json_object_get(o, "configuration_version"));
-	f->source = json_integer_value(json_object_get(o, "source"));
-	f->source_begun =
+	f->source_offset = json_integer_value(json_object_get(o, "source"));
+	f->partial_source_offset =
 		json_integer_value(json_object_get(o, "source_begun"));
-	f->version_begun =
+	f->partial_version =
 		json_integer_value(json_object_get(o, "version_begun"));
 	if (!doc)
 		return RESULT_OK;
@@ -183,7 +182,7 @@
 	return err;
 }
 
-static int load_into(struct fleet *f, const json_t *o)
+static int load_state(struct fleet *f, const json_t *o)
 {
 	json_t *item;
 	size_t i;
@@ -194,7 +193,7 @@
 	f->snapshot_upto =
 		json_integer_value(json_object_get(o, "snapshot_upto"));
 	f->applied = json_integer_value(json_object_get(o, "applied"));
-	f->log_witnessed_gone =
+	f->log_witnessed_removed =
 		json_is_true(json_object_get(o, "log_witnessed_gone"));
 	json_array_foreach(json_object_get(o, "members"), i, item)
 	{
@@ -210,10 +209,12 @@
 	}
 	json_array_foreach(json_object_get(o, "recent"), i, item)
 	{
-		f->recent[f->recent_next] = json_integer_value(item);
-		f->recent_next = (f->recent_next + 1) % FLEET_RECENT_APPENDS;
+		f->recent_append_hashes[f->recent_append_next] =
+			json_integer_value(item);
+		f->recent_append_next =
+			(f->recent_append_next + 1) % FLEET_RECENT_APPENDS;
 	}
-	return load_document(f, o);
+	return load_configuration(f, o);
 }
 
 /*
@@ -221,13 +222,13 @@
  * an older one and RESULT_INVALID for a broken one; the state is untouched
  * then.
  */
-int fleet_load(struct fleet *f, const json_t *snapshot)
+int fleet_load_snapshot(struct fleet *f, const json_t *snapshot)
 {
 	struct fleet *new = g_new0(struct fleet, 1);
 	int err;
 
 	fleet_init(new);
-	err = load_into(new, snapshot);
+	err = load_state(new, snapshot);
 	/*
 	 * Going back to an older state would revive owners and a configuration
 	 * that this node has already seen replaced.
--- a/t/sim-backend.c
+++ b/t/sim-backend.c
@@ -93,7 +93,7 @@
 	int64_t now = sim_local(nd);
 
 	if (nd->life_known != b->life) {
-		char life[LIFE_MAX_LEN + 1];
+		char life[SERVER_INSTANCE_ID_MAX_LEN + 1];
 
 		nd->life_known = b->life;
 		grants_forget_server(&nd->grants);
--- a/t/sim-faults.c
+++ b/t/sim-faults.c
@@ -229,9 +229,11 @@
 				j, n->holds[j].state, n->holds[j].clear,
 				(gint64)n->fleet.services[0].shards[j].owner,
 				(gint64)n->fleet.services[0].shards[j].successor,
-				(gint64)n->fleet.services[0].shards[j].from,
 				(gint64)n->fleet.services[0]
 					.shards[j]
-					.from_successor);
+					.prev_owner,
+				(gint64)n->fleet.services[0]
+					.shards[j]
+					.prev_successor);
 	}
 }
--- a/t/sim.c
+++ b/t/sim.c
@@ -681,7 +681,7 @@
 	uint32_t i;
 
 	for (i = 0; sv && i < sv->n_shards; i++)
-		if (sv->shards[i].from)
+		if (sv->shards[i].prev_owner)
 			return false;
 	return sv;
 }
--- a/t/test-published.c
+++ b/t/test-published.c
@@ -65,7 +65,7 @@
 			changes_between(f->document, doc, MAX_BYTES, &whole);
 
 		r = record_changes(f->configuration_version, changes,
-				   f->source + 1, whole, 0);
+				   f->source_offset + 1, whole, 0);
 		g_assert_cmpint(fleet_apply(f, f->applied + 1, "", r), ==,
 				RESULT_OK);
 		json_decref(r);
@@ -321,9 +321,9 @@
 		json_t *r;
 
 		json_object_set_new(changes, "version",
-				    json_integer(f.version_begun));
+				    json_integer(f.partial_version));
 		r = record_changes(f.configuration_version, changes,
-				   f.source + 1, false, 0);
+				   f.source_offset + 1, false, 0);
 		g_assert_cmpint(fleet_apply(&f, f.applied + 1, "", r), ==,
 				RESULT_INVALID);
 		json_decref(r);
--- a/t/test-schedules.c
+++ b/t/test-schedules.c
@@ -249,7 +249,7 @@
 	for (end = s.now + 3000; s.now < end;) {
 		sim_step(&s);
 		sv = fleet_service(sim_newest(&s), "records");
-		if (!sv->shards[0].from)
+		if (!sv->shards[0].prev_owner)
 			break;
 	}
 	sim_append_move(&s, 0, d, b);
@@ -312,7 +312,7 @@
 		s.nodes[sim_slot(&s, b)].log_cut = false;
 		sim_run(&s, 20000);
 		sh = fleet_service(sim_newest(&s), "records")->shards;
-		g_assert_cmpint(sh->from, ==, 0);
+		g_assert_cmpint(sh->prev_owner, ==, 0);
 		g_assert_cmpuint(s.breaches, ==, 0);
 		sim_finish(&s);
 	}
@@ -629,7 +629,7 @@
 						     s.nodes[i].member.now_ms);
 		sim_run(&s, 100);
 	}
-	g_assert_cmpint(sim_newest(&s)->source, >=, 8);
+	g_assert_cmpint(sim_newest(&s)->source_offset, >=, 8);
 	json_decref(doc);
 	sim_finish(&s);
 }
--- a/t/test-state.c
+++ b/t/test-state.c
@@ -148,7 +148,7 @@
 	set_up(&f);
 	g_assert_cmpint(configure(&f, 0, false), ==, RESULT_OK);
 	g_assert_cmpuint(owned(&f, 2), ==, 0);
-	g_assert_cmpint(f.services[0].shards[0].from, ==, 2);
+	g_assert_cmpint(f.services[0].shards[0].prev_owner, ==, 2);
 	fleet_finish(&f);
 }
 
@@ -174,8 +174,8 @@
 	g_assert_cmpint(configure(&f, 0, false), ==, RESULT_OK);
 	g_assert_cmpuint(owned(&f, 2), ==, 0);
 	for (i = 0; i < 8; i += 2) {
-		g_assert_cmpint(f.services[0].shards[i].from, ==, 2);
-		g_assert_cmpint(f.services[0].shards[i].earlier_from, ==, 2);
+		g_assert_cmpint(f.services[0].shards[i].prev_owner, ==, 2);
+		g_assert_cmpint(f.services[0].shards[i].older_owner, ==, 2);
 	}
 	fleet_finish(&f);
 }
@@ -220,12 +220,12 @@
 	g_assert_cmpint(configure(&f, 0, false), ==, RESULT_OK);
 	a = fleet_snapshot(&f);
 	fleet_init(&g);
-	g_assert_cmpint(fleet_load(&g, a), ==, RESULT_OK);
+	g_assert_cmpint(fleet_load_snapshot(&g, a), ==, RESULT_OK);
 	b = fleet_snapshot(&g);
 	g_assert_true(json_equal(a, b));
 	/* An older one must not take the place of a newer state. */
 	json_object_set_new(a, "applied", json_integer(1));
-	g_assert_cmpint(fleet_load(&g, a), ==, RESULT_STALE);
+	g_assert_cmpint(fleet_load_snapshot(&g, a), ==, RESULT_STALE);
 	json_decref(a);
 	json_decref(b);
 	fleet_finish(&f);
@@ -367,10 +367,10 @@
 
 	set_up(&f);
 	r = record_changes(f.configuration_version, changes, 7, true, 1);
-	g_assert_cmpint(f.source, <, 7);
+	g_assert_cmpint(f.source_offset, <, 7);
 	g_assert_cmpint(fleet_apply(&f, applied_next++, "", r), ==,
 			RESULT_INVALID);
-	g_assert_cmpint(f.source, ==, 7);
+	g_assert_cmpint(f.source_offset, ==, 7);
 	g_assert_nonnull(f.document);
 	g_assert_cmpuint(f.configuration.n_services, ==, 1);
 	json_decref(r);
