--- a/member/sync.c
+++ b/member/sync.c
@@ -150,7 +150,7 @@
 	if (n->now_ms < n->next_readers_ms)
 		return;
 	n->next_readers_ms = n->now_ms + READERS_EVERY_MS;
-	all = assign_log_readers(&n->fleet);
+	all = assign_readers_and_relays(&n->fleet);
 	g_array_set_size(n->followers, 0);
 	g_array_set_size(n->relays, 0);
 	for (place = 0; place < all->len; place++)
--- a/state/assign.c
+++ b/state/assign.c
@@ -319,7 +319,7 @@
  * Enough that some are left when many are lost at once; for a large fleet as
  * many as each then has to pass records on to.
  */
-#define MIN_READERS 4
+#define MIN_READERS_AND_RELAYS 4
 
 struct hashed_member {
 	uint64_t hash;
@@ -339,7 +339,7 @@
  * the first by rendezvous hash, as many as the square root of the fleet. The
  * caller frees.
  */
-GArray *assign_log_readers(const struct fleet *f)
+GArray *assign_readers_and_relays(const struct fleet *f)
 {
 	GArray *all = g_array_new(FALSE, FALSE, sizeof(struct hashed_member));
 	GArray *out = g_array_new(FALSE, FALSE, sizeof(int64_t));
@@ -352,7 +352,9 @@
 		g_array_append_val(all, r);
 	}
 	g_array_sort(all, compare_by_hash);
-	for (i = 0; i < all->len && (i < MIN_READERS || i * i < all->len); i++)
+	for (i = 0;
+	     i < all->len && (i < MIN_READERS_AND_RELAYS || i * i < all->len);
+	     i++)
 		g_array_append_val(
 			out, g_array_index(all, struct hashed_member, i).id);
 	g_array_unref(all);
--- a/state/fleet.h
+++ b/state/fleet.h
@@ -205,7 +205,7 @@
 		      struct witness_set *out);
 json_t *assign_balance(const struct fleet *f, const struct fleet_service *s,
 		       uint32_t max_moves);
-GArray *assign_log_readers(const struct fleet *f);
+GArray *assign_readers_and_relays(const struct fleet *f);
 uint32_t assign_rank(const struct fleet *f, const char *task, int64_t id);
 
 /* state/snapshot.c: the whole state as JSON and back. */
