--- a/state/fleet.c
+++ b/state/fleet.c
@@ -7,7 +7,7 @@
 #include "util/hash.h"
 #include "util/result.h"
 
-/* Set up an empty state that no record has touched. */
+/* Initialise the state before the first record. */
 void fleet_init(struct fleet *f)
 {
 	memset(f, 0, sizeof(*f));
@@ -21,7 +21,7 @@
 	f->members = g_array_new(FALSE, TRUE, sizeof(struct member));
 }
 
-/* Release what the state holds. */
+/* Free all memory of the state and zero it. */
 void fleet_finish(struct fleet *f)
 {
 	uint32_t i;
@@ -126,7 +126,11 @@
 	}
 }
 
-/* Neighbours that go together to one successor make one row at its server. */
+/*
+ * Name successors for the shards of one service that have none. Neighbouring
+ * shards of one owner get the same successor, so that they form one range at
+ * the successor's backend server.
+ */
 static void assign_successors(struct fleet *f, struct fleet_service *s,
 			      int64_t offset)
 {
@@ -153,9 +157,10 @@
 }
 
 /*
- * Ranges are placed by a record of their own, once those who will share them
- * have joined. Given to whoever joins first they would move again at once, and
- * a move of a range costs its backend servers more than one of hashed keys.
+ * Shards that are key ranges get their first owners by a "place" record, which
+ * is written once the members that will share them have joined. If the first
+ * member to join got all of them, they would soon move again, and moving a
+ * range costs the backend servers more than moving hashed keys.
  */
 static bool needs_place_record(const struct fleet_service *s)
 {
@@ -178,10 +183,10 @@
 	struct shard *sh = &s->shards[i];
 
 	/*
-	 * The shard goes to the successor that the log named beforehand and to
-	 * nobody else: that successor may already serve it, when it took over
-	 * while it could not reach the log. Any other choice here would give
-	 * the key a second owner.
+	 * If an earlier record named a successor, no other member may become
+	 * the owner. The successor may already serve the shard, having taken it
+	 * over while it could not reach the log. Any other choice here would
+	 * give the keys a second owner.
 	 */
 	if (sh->owner == removed) {
 		int64_t successor = sh->successor;
@@ -228,10 +233,11 @@
 			remove_from_shard(f, &f->services[i], j, id, offset,
 					  record, reason);
 		/*
-		 * Picked one by one, heirs of neighbours alternate, and with
-		 * each loss the ranges of an owner fall into more rows than the
-		 * answer to a heartbeat can name; the server lets go what is
-		 * left out, and turns its requests away.
+		 * If successors were picked one by one, those of neighbouring
+		 * shards would alternate. Each loss of a member would then
+		 * split an owner's shards into more separate ranges, until the
+		 * answer to a heartbeat cannot list them all. The backend server
+		 * releases the ranges left out and refuses requests for them.
 		 */
 		if (needs_place_record(&f->services[i]))
 			assign_successors(f, &f->services[i], offset);
@@ -272,7 +278,7 @@
 	int64_t prev_owner = sh->owner;
 	int64_t prev_successor = sh->successor;
 
-	/* There is room for the predecessors of two moves, not of more. */
+	/* The state keeps previous owners of two unsettled moves at most. */
 	if (sh->older_owner || owner == successor)
 		return RESULT_STALE;
 	sh->older_owner = sh->prev_owner;
@@ -317,9 +323,10 @@
 }
 
 /*
- * Ranges go out in blocks, dealt over the members: keys that are busy lie close
- * together, so each member gets its part of them, and a block makes one row of
- * what its backend server is told to hold.
+ * A "place" record assigns key ranges in this many blocks of neighbouring
+ * shards, spread over the members. Busy keys lie close together, so each member
+ * gets a part of them. Each block is one range in what its backend server is
+ * told to hold.
  */
 #define PLACE_BLOCKS 128
 
@@ -349,7 +356,7 @@
 	return to;
 }
 
-/* Owners first and then successors, so that both come out even. */
+/* Assigns all owners before any successor, so that both are spread evenly. */
 static int apply_place(struct fleet *f, int64_t offset, const json_t *r)
 {
 	struct fleet_service *s = fleet_service(f, get_text(r, "service"));
@@ -380,8 +387,9 @@
 		if (!m)
 			continue;
 		/*
-		 * A proof gathered from witnesses that the member has since
-		 * replaced proves nothing: the new ones may vouch for it.
+		 * The proof that the member stopped came from witnesses that
+		 * the member has since replaced. It is void, as the new
+		 * witnesses may vouch for the member.
 		 */
 		if (m->witness_offset != get_number(item, "witness_offset")) {
 			result = result == RESULT_OK ? RESULT_OK : RESULT_STALE;
@@ -405,7 +413,11 @@
 		return RESULT_INVALID;
 	if (s->shards[i].fence != base || !fleet_member(f, owner))
 		return RESULT_STALE;
-	/* Moves that can wait leave room for one that can not. */
+	/*
+	 * A planned move can wait until the previous one is settled. The state
+	 * can hold two unsettled moves, and the second is reserved for moves
+	 * that cannot wait.
+	 */
 	if (s->shards[i].prev_owner)
 		return RESULT_STALE;
 	if (successor && !fleet_member(f, successor))
@@ -440,9 +452,11 @@
 	if (upto >= offset)
 		return RESULT_INVALID;
 	/*
-	 * A node that has not read this record may be appending an expulsion
-	 * proved by the old witnesses, the log itself among them. They count
-	 * no more, so its proof must not pass for one of the new ones.
+	 * A node that has not read this record may append an expulsion proved
+	 * by the old witnesses, one of which may be the log. The old witnesses
+	 * no longer count. The new witness_offset makes apply_expel() drop such
+	 * an expulsion, which would otherwise pass for one proved by the new
+	 * witnesses.
 	 */
 	if (m->old_witnesses.n && m->witness_offset <= upto) {
 		m->old_witnesses.n = 0;
@@ -473,13 +487,13 @@
 		return RESULT_NO_SUCH;
 	if (witness_set_from_json(&w, json_object_get(r, "witnesses")))
 		return RESULT_INVALID;
+	if (m->witness_offset != get_number(r, "base"))
+		return RESULT_STALE;
 	/*
 	 * Until the member settles, its old set still counts beside the new
-	 * one, which is kept by a second change before that: the set between
-	 * was never served by, and goes.
+	 * one. A second change before that keeps the old set and replaces only
+	 * the new one: the member never served by the set that is replaced.
 	 */
-	if (m->witness_offset != get_number(r, "base"))
-		return RESULT_STALE;
 	if (!m->old_witnesses.n)
 		m->old_witnesses = m->witnesses;
 	m->witnesses = w;
@@ -489,7 +503,6 @@
 	return RESULT_OK;
 }
 
-/* Room for one more service, all zero. */
 struct fleet_service *fleet_add_service(struct fleet *f)
 {
 	struct fleet_service *s;
@@ -533,9 +546,9 @@
 	uint32_t i;
 
 	/*
-	 * The record that takes a data centre out also says where its shards
-	 * go, so that nodes which learn of it from each other, with the log
-	 * down right after, can still carry it out.
+	 * The record that takes a data centre out of service also decides where
+	 * its shards go. If the log fails right after it, nodes that receive
+	 * the record from their peers can still move the shards.
 	 */
 	assign_prepare(f, s);
 	for (i = 0; i < s->n_shards; i++) {
@@ -571,7 +584,7 @@
 	emit_event(f, &ev, record);
 }
 
-/* What follows from the configuration that is in force now. */
+/* Update services and shards after a change of the configuration. */
 static void on_configuration_changed(struct fleet *f, int64_t offset,
 				     const json_t *r)
 {
@@ -588,7 +601,7 @@
 	emit_event(f, &ev, r);
 }
 
-/* A whole configuration in place of the one that it was based on. */
+/* Replace the configuration, if it is the one that the record is based on. */
 static int apply_configuration(struct fleet *f, int64_t offset, const json_t *r)
 {
 	json_t *doc = json_object_get(r, "document");
@@ -616,7 +629,11 @@
 	return err;
 }
 
-/* Who has read less may not know which data centres have removed out since. */
+/*
+ * Take the data centres out of changes whose writer had read less of the
+ * operators' stream than the writer of earlier changes: it may not know which
+ * data centres were taken out of service since.
+ */
 static void discard_data_centre_changes(json_t *changes)
 {
 	json_t *set = json_copy(json_object_get(changes, "set"));
@@ -626,8 +643,10 @@
 }
 
 /*
- * What operators published elsewhere, as changes of the one it is based on. Any
- * member may finish what is in force in part, but none may lead back from it.
+ * Apply what operators published in a stream of their own, as changes to the
+ * configuration that the record is based on. When changes are in force in part,
+ * any member may write the rest of them, but changes that lead back to an older
+ * operators' version are dropped.
  */
 static int apply_changes(struct fleet *f, int64_t offset, const json_t *r)
 {
@@ -651,7 +670,10 @@
 	json_decref(changes);
 	f->partial_source_offset = MAX(f->partial_source_offset, source);
 	f->partial_version = version;
-	/* One that cannot be used has been looked at, or it comes for ever. */
+	/*
+	 * Invalid changes count as read; otherwise members would write them
+	 * again for ever.
+	 */
 	if (err || json_is_true(json_object_get(r, "whole")))
 		f->source_offset = source;
 	if (!err)
@@ -693,6 +715,10 @@
 	{ "snapshot", apply_snapshot },
 };
 
+/*
+ * Whether an append id is among the last FLEET_RECENT_APPENDS; if not, it is
+ * added to them.
+ */
 static bool is_duplicate_append(struct fleet *f, const char *append_id)
 {
 	uint64_t h = hash_string(append_id);
@@ -731,8 +757,9 @@
 		return RESULT_GAP;
 	f->applied = offset;
 	/*
-	 * A writer whose answer was lost may append the same record again;
-	 * the second copy must not, say, make a member supersede itself.
+	 * A writer that did not get the log's answer may append the same record
+	 * again. The second copy has to be dropped: a second copy of a join,
+	 * for instance, would make a member supersede itself.
 	 */
 	if (is_duplicate_append(f, append_id))
 		err = RESULT_DUPLICATE;
--- a/state/fleet.h
+++ b/state/fleet.h
@@ -9,23 +9,28 @@
 #include "settings/configuration.h"
 
 /*
- * The state that every node replays from the platform's log: members by
- * incarnation, the owner and successor of every shard, and the configuration
- * in force. fleet_apply() is deterministic and does no input or output and
- * reads no clock, so that equal logs give equal states on every node.
+ * The replicated state that every node replays from the platform's log: the
+ * members, one for each incarnation of a host, the owner and successor of every
+ * shard, and the configuration in force. fleet_apply() is deterministic: it
+ * does no input or output and reads no clock, so that equal logs give equal
+ * states on every node.
  *
- * A member's id is the offset of its join record plus one, so that 0 is nobody.
- * A shard's fence is the offset of the record that last moved it.
+ * A member's id is the offset of its join record plus one; 0 means no member.
+ * A shard's fence (fencing token) is the offset of the record that last moved
+ * it.
  */
 
 #define FLEET_MAX_WITNESSES 5
 #define FLEET_WITNESSES 3
 #define FLEET_RECENT_APPENDS 256
-/* Why a member went: its host runs a newer incarnation. */
+/* Reason for removing a member: its host runs a newer incarnation. */
 #define FLEET_REASON_RESTARTED "restarted"
-/* The same, and what its backend server held ended with that server. */
+/* The same, and its backend server restarted too, losing the shards it held. */
 #define FLEET_REASON_SERVER_RESTARTED "restarted with its backend server"
-/* The same, and its backend server lived on: the new process keeps its keys. */
+/*
+ * Reason for moving a shard to the newer incarnation of its owner's host, which
+ * keeps it: usually the node restarted and its backend server kept running.
+ */
 #define FLEET_REASON_SERVER_KEPT "restarted beside its backend server"
 #define HOST_MAX_LEN 63
 #define ADDRESS_MAX_LEN 63
@@ -34,24 +39,26 @@
 #define SERVER_INSTANCE_ID_MAX_LEN 63
 
 /*
- * Stands in a witness set for the log itself: while a fleet is too small for
- * three witnesses a node's lease rests on reads of the log's tail, and whoever
- * takes over waits for a whole lease after the record that expels it.
+ * Stands for the log in a witness set. While a fleet is too small for three
+ * witnesses, a node renews its lease by reading the log's tail, and a member
+ * that takes over the node's shards waits for a full lease duration after the
+ * record that expels the node.
  */
 #define LOG_WITNESS (-1)
 
 struct witness_set {
-	int64_t id[FLEET_MAX_WITNESSES]; /* processes */
+	int64_t id[FLEET_MAX_WITNESSES]; /* member::process, or LOG_WITNESS */
 	uint32_t n;
 };
 
 struct member {
 	int64_t id;
 	/*
-	 * Id of the first membership of the same process. A process that joins
-	 * anew keeps the promises it gave as a witness, so witness sets name
-	 * processes: otherwise one node that joins anew would take a witness
-	 * from its neighbours, they would join anew in turn, and so on.
+	 * Id of the first membership of the same process. Witness sets name
+	 * processes, as a process that joins again keeps the promises it gave
+	 * as a witness. If they named members, a node that joins again would
+	 * cost its neighbours a witness, they would join again in turn, and so
+	 * on.
 	 */
 	int64_t process;
 	char host[HOST_MAX_LEN + 1];
@@ -60,14 +67,15 @@
 	char peer[ADDRESS_MAX_LEN + 1];
 	char caller[ADDRESS_MAX_LEN + 1];
 	char boot_id[BOOT_ID_MAX_LEN + 1];
-	char nonce[NONCE_MAX_LEN + 1]; /* tells a process its own join record */
-	/* One life of the backend server beside the node, "" not told. */
+	/* By which a process recognises its own join record. */
+	char nonce[NONCE_MAX_LEN + 1];
+	/* Names one run of the host's backend server; "" unknown. */
 	char server_instance_id[SERVER_INSTANCE_ID_MAX_LEN + 1];
 	struct witness_set witnesses;
-	/* The set before, until the member settles the new one. */
+	/* Previous set, which counts too until the member settles. */
 	struct witness_set old_witnesses;
 	int64_t witness_offset; /* record that set the witnesses */
-	/* Scratch of assign_prepare(), no part of the state. */
+	/* Working data of assign_prepare(), not part of the state. */
 	uint32_t n_assigned;
 	bool candidate;
 };
@@ -77,19 +85,20 @@
 	int64_t successor; /* 0: none */
 	int64_t fence;
 	/*
-	 * Offset of the record that named the successor. One that takes over
-	 * ahead of the log serves under this, as the successor before it may
-	 * have done under its own: with the shard's fence alone both would
-	 * have the same.
+	 * Offset of the record that named the successor. A successor that takes
+	 * over before a log record moves the shard to it derives its fencing
+	 * token from this offset. An earlier successor may have taken over in
+	 * the same way; if both used the shard's fence, their tokens would be
+	 * equal.
 	 */
 	int64_t successor_fence;
 	/*
-	 * Set while a move is not settled: the owner and successor before it,
-	 * either of which may still be serving the shard.
+	 * Owner and successor before the last move, either of which may still
+	 * be serving the shard. Set until the new owner settles the move.
 	 */
 	int64_t prev_owner;
 	int64_t prev_successor;
-	/* The same of a move before that one, when that was not settled. */
+	/* The same for the move before that one, if it was not settled yet. */
 	int64_t older_owner;
 	int64_t older_successor;
 };
@@ -113,52 +122,59 @@
 	FLEET_RECORD_DROPPED,
 };
 
-/* One change made by a record. The strings live only during the call. */
+/* One change made by a record. Pointers are valid only during the call. */
 struct fleet_event {
 	enum fleet_event_type type;
 	int64_t offset;
-	const struct member *member; /* joined, gone, witnesses, settled */
+	const struct member *member; /* joined, removed, witnesses, settled */
 	const char *service; /* moved */
 	uint32_t shard; /* moved */
-	int64_t from; /* moved: owner before; successor gone: that one */
-	int64_t to; /* moved: owner now */
-	int64_t fence_before; /* moved: the fence of the owner before */
-	const char *written_by; /* who wrote the record */
-	const char *reason; /* configuration refused: what is wrong with it */
-	int result; /* dropped: why */
+	int64_t from; /* moved: previous owner; successor removed: its id */
+	int64_t to; /* moved: new owner */
+	int64_t fence_before; /* moved: the previous owner's fence */
+	/* Writer of the record: an operator's name or "member ID". */
+	const char *written_by;
+	const char *reason; /* refused: the first error; dropped: record type */
+	int result; /* dropped: RESULT_* */
 };
 
 typedef void (*fleet_event_fn)(void *user, const struct fleet_event *ev);
 
 struct fleet {
-	int64_t applied; /* offset of the last record applied, -1 none */
-	GArray *members; /* struct member, by rising id */
-	struct fleet_service *services; /* moves as more are added */
+	int64_t applied; /* offset of the last applied record, -1: none */
+	GArray *members; /* struct member, by ascending id */
+	struct fleet_service *services; /* reallocated as services are added */
 	uint32_t n_services;
-	json_t *document; /* configuration in force, NULL none */
+	json_t *document; /* configuration in force, NULL: none */
 	struct configuration configuration;
-	int64_t configuration_version; /* its offset, -1 none */
+	int64_t configuration_version; /* offset of its record, -1: none */
 	/*
-	 * How far the stream in which operators publish was read for it, when
-	 * that is another stream; -1 none.
+	 * Used when operators publish in a stream of their own: the offset in
+	 * that stream up to which its records are in force or were refused; -1:
+	 * none.
 	 */
 	int64_t source_offset;
-	/* The same of changes that are in force in part, or source; and the
-	 * operators' version that these lead to. */
+	/*
+	 * The highest offset in the operators' stream of all changes so far,
+	 * including those in force in part or refused, and the operators'
+	 * version that the last of them lead to.
+	 */
 	int64_t partial_source_offset;
 	int64_t partial_version;
 	/*
-	 * Whether a member whose witness was the log has ever gone: it may have
-	 * served for a lease after its last read. See member/holds.c.
+	 * Whether a member whose witness was the log has ever been removed. It
+	 * may have served for a lease duration after its last read of the log.
+	 * See member/holds.c.
 	 */
 	bool log_witnessed_removed;
-	uint64_t recent_append_hashes[FLEET_RECENT_APPENDS]; /* ids of appends
-								seen */
+	/* Ring of hashes of the ids of the last appends. */
+	uint64_t recent_append_hashes[FLEET_RECENT_APPENDS];
 	uint32_t recent_append_next;
-	int64_t snapshot_offset; /* last record of a whole snapshot, -1 none */
+	/* Last record of the newest complete snapshot, -1: none. */
+	int64_t snapshot_offset;
+	/* Last record included in the newest snapshot, complete or not. */
 	int64_t snapshot_upto;
-	int64_t next_snapshot_part; /* next part expected of the one being
-				       written */
+	int64_t next_snapshot_part; /* next part expected of that snapshot */
 	fleet_event_fn on_event;
 	void *on_event_user;
 };
@@ -167,9 +183,9 @@
 void fleet_finish(struct fleet *f);
 
 /*
- * Apply the record at offset, which must follow the last one. Returns
- * RESULT_OK, RESULT_GAP without effect when records are missing before it,
- * or the reason the record was dropped (RESULT_STALE, RESULT_INVALID,
+ * Apply the record at offset, which must be the one after the last applied
+ * record. Returns RESULT_OK, RESULT_GAP without effect for any other offset, or
+ * the reason why the record was dropped (RESULT_STALE, RESULT_INVALID,
  * RESULT_DUPLICATE, RESULT_NO_SUCH); a dropped record counts as applied.
  */
 int fleet_apply(struct fleet *f, int64_t offset, const char *append_id,
@@ -184,8 +200,9 @@
 bool fleet_member_in_service(const struct fleet *f, const struct member *m);
 
 /*
- * The shard that a key falls into. Returns RESULT_OK, or RESULT_INVALID when
- * keys of this service are numbers and this is none of them.
+ * Store in *shard the shard that a key belongs to. Returns RESULT_OK, or
+ * RESULT_INVALID when keys of this service are numbers and key is not a number
+ * within their range.
  */
 int shard_of_key(const struct fleet_service *s, const char *key,
 		 uint32_t *shard);
@@ -196,7 +213,9 @@
 		      ((m) = fleet_member_at((f), (i)), true); \
 	     (i)++)
 
-/* state/assign.c: deterministic choices over the state. */
+/*
+ * state/assign.c: deterministic assignment of shards, witnesses and tasks.
+ */
 void assign_prepare(const struct fleet *f, const struct fleet_service *s);
 int64_t assign_pick_member(const struct fleet *f, uint32_t shard, int64_t owner,
 			   int64_t avoid);
@@ -208,7 +227,7 @@
 GArray *assign_readers_and_relays(const struct fleet *f);
 uint32_t assign_rank(const struct fleet *f, const char *task, int64_t id);
 
-/* state/snapshot.c: the whole state as JSON and back. */
+/* state/snapshot.c: the complete state as JSON, and back. */
 json_t *fleet_snapshot(const struct fleet *f);
 int fleet_load_snapshot(struct fleet *f, const json_t *snapshot);
 
