--- a/state/assign.c
+++ b/state/assign.c
@@ -6,7 +6,7 @@
 #include "util/hash.h"
 
 #define RANGE_IMBALANCE_FACTOR 5
-/* More than a witness in a data centre of its own is worth. */
+/* Outweighs the 1 point for a witness in another data centre. */
 #define SCORE_RUNNING 2
 
 static bool can_own(const struct fleet *f, const struct fleet_service *s,
@@ -16,9 +16,10 @@
 }
 
 /*
- * Count, before a run of picks for one service, what each of its members holds
- * or would inherit. Counting anew for each pick would take seconds for a data
- * centre's loss at 1,500 nodes.
+ * Prepare a series of assign_pick_member() for one service: count the shards
+ * that each member owns or is the successor of, and mark the members that can
+ * be picked. Counting again for each pick would take seconds when a data centre
+ * is lost at 1,500 nodes.
  */
 void assign_prepare(const struct fleet *f, const struct fleet_service *s)
 {
@@ -40,10 +41,12 @@
 }
 
 /*
- * Choose who should hold or inherit a shard: a member of the service that
- * takes work, other than owner and avoid, in another data centre than owner
- * where there is one, with the fewest claims so far, by rendezvous hash among
- * equals. Returns 0 when nobody can. assign_prepare() comes first.
+ * Pick an owner or successor for a shard: a member of the service that is in
+ * service, is not owner or avoid, and is preferably in another data centre than
+ * owner. Among those the one with the fewest shards assigned is picked, and
+ * among equals the first by rendezvous hash. Returns its id and counts the
+ * shard as assigned to it, or returns 0 if there is none. assign_prepare() must
+ * have been called for the service before.
  */
 int64_t assign_pick_member(const struct fleet *f, uint32_t shard, int64_t owner,
 			   int64_t avoid)
@@ -96,7 +99,7 @@
 	return false;
 }
 
-/* A host's newest member is the only one of it that can still be running. */
+/* Of a host's members only the newest can still be running. */
 static bool is_newest(const struct fleet *f, const struct member *m)
 {
 	return fleet_member_by_host(f, m->host)->id == m->id;
@@ -124,7 +127,7 @@
 			continue;
 		score = strcmp(m->data_centre, subject->data_centre) &&
 			!data_centre_used(f, chosen, m->data_centre);
-		/* Who is gone vouches for nobody, wherever it was. */
+		/* A stopped member cannot vouch, so recent ones come first. */
 		if (m->id > newer_than)
 			score += SCORE_RUNNING;
 		if (best && (score < best_score ||
@@ -138,9 +141,10 @@
 }
 
 /*
- * Choose witnesses for a member, spread over data centres, none from avoid and
- * rather those with ids above newer_than, which are known to have run lately.
- * While fewer than three others can be had the set is the log alone.
+ * Choose three witnesses for a member, spread over data centres and none from
+ * avoid, which may be NULL. Members with ids above newer_than are preferred, as
+ * they are known to have run recently. If fewer than three are found, the set
+ * is LOG_WITNESS alone.
  */
 void assign_witnesses(const struct fleet *f, const struct member *subject,
 		      const struct witness_set *avoid, int64_t newer_than,
@@ -242,9 +246,10 @@
 }
 
 /*
- * Hashed keys are spread evenly, and so shards by number. Ranges are given by
- * load, by those who own them; only whoever has next to none needs some to
- * begin with.
+ * Hashed keys are spread evenly, so their shards are balanced by number. Shards
+ * that are key ranges are balanced by load, and their owners move them. Here
+ * only a member that has less than 1/RANGE_IMBALANCE_FACTOR of what the largest
+ * owner has gets some to start with.
  */
 static bool is_unbalanced(const struct fleet_service *s,
 			  const struct member_load *most,
@@ -256,10 +261,11 @@
 }
 
 /*
- * Build a record of at most max_moves moves: first shards whose owner's data
+ * Build a record of at most max_moves moves: first of shards whose owner's data
  * centre is out of service, then from the member with the most shards to the
- * one with the fewest, until they differ by at most one. Returns NULL when
- * nothing needs to move.
+ * one with the fewest, until they are balanced: hashed shards differ by at most
+ * one. Returns NULL when nothing needs to move; otherwise the caller drops the
+ * reference.
  */
 json_t *assign_balance(const struct fleet *f, const struct fleet_service *s,
 		       uint32_t max_moves)
@@ -300,8 +306,9 @@
 }
 
 /*
- * Rank of a member in who acts first on a task, 0 first, by rendezvous hash
- * over all members. Only a preference: replay keeps a second actor harmless.
+ * Rank of a member for a task that any one member can do, by rendezvous hash
+ * over all members; the member with rank 0 should act first. Two members that
+ * act at once do no harm, as replay drops a record that comes too late.
  */
 uint32_t assign_rank(const struct fleet *f, const char *task, int64_t id)
 {
@@ -316,8 +323,9 @@
 }
 
 /*
- * Enough that some are left when many are lost at once; for a large fleet as
- * many as each then has to pass records on to.
+ * Enough that some are left when many are lost at once. A large fleet has the
+ * square root of its size instead: as many as each of them then has members to
+ * pass records on to.
  */
 #define MIN_READERS_AND_RELAYS 4
 
@@ -335,9 +343,11 @@
 }
 
 /*
- * The members (int64_t ids) that wait for news at the log, each with its place:
- * the first by rendezvous hash, as many as the square root of the fleet. The
- * caller frees.
+ * The ids (int64_t) of the members that pass new records on to the others, by
+ * rendezvous hash: as many as the square root of the number of members, and at
+ * least MIN_READERS_AND_RELAYS while there are so many. The first in the array
+ * read the log and the rest are relays, see member/sync.c. The caller drops the
+ * array.
  */
 GArray *assign_readers_and_relays(const struct fleet *f)
 {
--- a/state/lookup.c
+++ b/state/lookup.c
@@ -4,7 +4,7 @@
 #include "util/hash.h"
 #include "util/result.h"
 
-/* Finding members, services and shards in the state. */
+/* Lookups of members, services and shards in the state. */
 
 /* Number of members. */
 uint32_t fleet_n_members(const struct fleet *f)
@@ -18,7 +18,7 @@
 	return &g_array_index(f->members, struct member, i);
 }
 
-/* Find a member by id, NULL when it never joined or is gone. */
+/* Find a member by id, NULL when it never joined or was removed. */
 struct member *fleet_member(const struct fleet *f, int64_t id)
 {
 	uint32_t lo = 0;
@@ -38,7 +38,7 @@
 	return NULL;
 }
 
-/* Find the member that a process is, NULL when it is none now. */
+/* Find the current membership of a process, NULL when it has none. */
 struct member *fleet_member_by_process(const struct fleet *f, int64_t process)
 {
 	struct member *m;
@@ -63,7 +63,7 @@
 	return found;
 }
 
-/* Find a service by name, NULL when no configuration names it. */
+/* Find a service by name, NULL when no configuration has named it. */
 struct fleet_service *fleet_service(const struct fleet *f, const char *name)
 {
 	uint32_t i;
@@ -74,7 +74,7 @@
 	return NULL;
 }
 
-/* Tell whether operators let the member's data centre take work. */
+/* Whether the configuration has the member's data centre in service. */
 bool fleet_member_in_service(const struct fleet *f, const struct member *m)
 {
 	return configuration_in_service(&f->configuration, m->data_centre);
@@ -96,7 +96,7 @@
 	return RESULT_OK;
 }
 
-/* Tell whether a member is in a witness set. */
+/* Whether a process, or LOG_WITNESS, is in a witness set. */
 bool witness_set_has(const struct witness_set *w, int64_t id)
 {
 	uint32_t i;
