--- a/state/records.c
+++ b/state/records.c
@@ -19,7 +19,7 @@
 	json_object_set_new(r, name, json_integer(value));
 }
 
-/* Write a witness set as a list of member ids. */
+/* Write a witness set as a list of process ids and LOG_WITNESS. */
 json_t *witness_set_to_json(const struct witness_set *w)
 {
 	json_t *list = json_array();
@@ -30,7 +30,10 @@
 	return list;
 }
 
-/* Read a witness set; RESULT_INVALID when it is not a short list of ids. */
+/*
+ * Read a witness set. Returns RESULT_OK, or RESULT_INVALID unless list is an
+ * array of at most FLEET_MAX_WITNESSES integers.
+ */
 int witness_set_from_json(struct witness_set *w, const json_t *list)
 {
 	json_t *v;
@@ -48,7 +51,7 @@
 	return RESULT_OK;
 }
 
-/* A new incarnation of a host asks to be a member. */
+/* Make a new incarnation of a host a member. */
 json_t *record_join(const struct member *m)
 {
 	json_t *r = new_record("join");
@@ -67,7 +70,10 @@
 	return r;
 }
 
-/* Members proved to have stopped leave; add each with record_expel_add(). */
+/*
+ * Remove members that are proved to have stopped. Starts with an empty list;
+ * record_expel_add() adds each member.
+ */
 json_t *record_expel(int64_t by, const char *reason)
 {
 	json_t *r = new_record("expel");
@@ -78,7 +84,7 @@
 	return r;
 }
 
-/* Add one member, proved stopped under the witness set it has in m. */
+/* Add a member that was proved to have stopped by the witnesses named in m. */
 void record_expel_add(json_t *record, const struct member *m)
 {
 	json_t *item = json_object();
@@ -88,7 +94,10 @@
 	json_array_append_new(json_object_get(record, "members"), item);
 }
 
-/* A batch of planned moves of one service's shards. */
+/*
+ * Planned moves of one service's shards. Starts with an empty list;
+ * record_move_add() adds each shard.
+ */
 json_t *record_move(const char *service, int64_t by, const char *reason)
 {
 	json_t *r = new_record("move");
@@ -100,7 +109,7 @@
 	return r;
 }
 
-/* Add one shard, valid only while its fence is base_fence. */
+/* Add the move of one shard, dropped unless its fence is still base_fence. */
 void record_move_add(json_t *record, uint32_t shard, int64_t owner,
 		     int64_t successor, int64_t base_fence)
 {
@@ -113,7 +122,7 @@
 	json_array_append_new(json_object_get(record, "items"), item);
 }
 
-/* The shards of a service that nobody owns go to its members. */
+/* Assign the shards of a service that have no owner to its members. */
 json_t *record_place(const char *service, int64_t by)
 {
 	json_t *r = new_record("place");
@@ -124,8 +133,8 @@
 }
 
 /*
- * The member holds every shard moved to it up to an offset, and uses only
- * the witnesses set up to there.
+ * State that the member holds every shard moved to it by records up to an
+ * offset, and uses only the witnesses set by records up to there.
  */
 json_t *record_settle(int64_t member, int64_t upto)
 {
@@ -136,7 +145,7 @@
 	return r;
 }
 
-/* The member asks for other witnesses, instead of those set at base. */
+/* Replace the member's witnesses, if they were set by the record at base. */
 json_t *record_witnesses(int64_t member, int64_t base,
 			 const struct witness_set *w)
 {
@@ -148,7 +157,7 @@
 	return r;
 }
 
-/* A whole configuration that replaces the one of version base. */
+/* Replace the configuration of version base by document, a complete one. */
 json_t *record_configuration(int64_t base, json_t *document, const char *by,
 			     const char *reason)
 {
@@ -162,8 +171,10 @@
 }
 
 /*
- * Changes, as changes_between() has them, to the configuration of version base,
- * worked out from what operators published up to source; takes them over.
+ * Apply changes, in the form of changes_between(), to the configuration of
+ * version base. They were derived from what operators published in their own
+ * stream up to the offset source; complete is false when they are only a part
+ * of that. Takes over the reference to changes.
  */
 json_t *record_changes(int64_t base, json_t *changes, int64_t source,
 		       bool complete, int64_t by)
@@ -179,7 +190,7 @@
 	return r;
 }
 
-/* One part of the state as it stood after the record at upto. */
+/* One part, of parts, of a snapshot of the state after the record at upto. */
 json_t *record_snapshot(int64_t upto, uint32_t part, uint32_t parts,
 			const char *data, size_t len)
 {
--- a/state/records.h
+++ b/state/records.h
@@ -6,7 +6,7 @@
 #include "state/fleet.h"
 
 /*
- * Builders of the log's records. Each returns a new reference, never NULL.
+ * Constructors of the log's records. Each returns a new reference, never NULL.
  * docs/design/records.md describes every field.
  */
 json_t *record_join(const struct member *m);
--- a/state/rejoin.c
+++ b/state/rejoin.c
@@ -3,24 +3,25 @@
 #include "state/internal.h"
 
 /*
- * A host joins again: what its earlier incarnation owned, and where that was
- * named as an heir.
+ * A host joins again: transfers the shards that its earlier incarnation owned,
+ * or was named as the successor of, to the new one.
  */
 
+/* Whether the join of m proves that the earlier member has stopped. */
 bool rejoin_supersedes(const struct member *m, const struct member *old)
 {
 	/*
-	 * A process killed and started again would otherwise keep its keys
-	 * unserved until its witnesses prove the stop, and a fleet restarted
-	 * whole has no witnesses left to prove it. Under one boot of one host
-	 * the kernel lets a single process listen on the peer address, so the
-	 * newer process is itself the proof that the older one is gone.
+	 * When a process is killed and started again, its keys would otherwise
+	 * stay unserved until its witnesses prove that it stopped, and when all
+	 * of a fleet restarts, no witnesses are left to prove it. During one
+	 * boot of a host the kernel lets only one process listen on the peer
+	 * address, so the newer process proves that the older one has ended.
 	 */
 	return !strcmp(old->host, m->host) && !strcmp(old->peer, m->peer) &&
 	       old->boot_id[0] && !strcmp(old->boot_id, m->boot_id);
 }
 
-/* Whether the backend server that the earlier incarnation had is gone too. */
+/* Whether the backend server of the earlier incarnation has ended too. */
 bool rejoin_server_restarted(const struct member *m, const struct member *old)
 {
 	return m->server_instance_id[0] && old->server_instance_id[0] &&
@@ -28,12 +29,18 @@
 }
 
 /*
- * Whether the keys of a host that joined again keep there. Beside a backend
- * server that lived on they do: given to the heirs they would have to be let
- * go and taken up elsewhere, and move back later. With a new process and a new
- * life the whole host was off, most likely with many others, and moving would
- * pile the keys of all on those who come back first. A server that started
- * again beside its process is cold, and its heirs are warm.
+ * Whether a host that joined again keeps its shards.
+ *
+ * If its backend server kept running, it does. Otherwise the server would have
+ * to release the keys, the successors' servers would have to take them over,
+ * and the keys would move back later.
+ *
+ * If node process and backend server are both new, the whole host was off, most
+ * likely with many others. It keeps key ranges, as moving them would pile the
+ * keys of all those hosts on the first ones that come back.
+ *
+ * If only the backend server restarted, the shards move to their successors:
+ * the restarted server is cold, and the successors' servers are warm.
  */
 static bool keeps_shards(const struct fleet_service *s,
 			 const struct member *old, const struct member *m)
@@ -45,8 +52,9 @@
 }
 
 /*
- * The new incarnation takes a shard over, and serves it once the successor,
- * who may have taken over by now, says that it does not hold it.
+ * Make the new incarnation the owner of a shard. The successor may have taken
+ * the shard over by now, so the new incarnation serves it only after the
+ * successor has answered that it does not hold it.
  */
 static void transfer_shard(struct fleet *f, struct fleet_service *s, uint32_t i,
 			   const struct member *m, int64_t offset,
@@ -55,10 +63,11 @@
 	struct shard *sh = &s->shards[i];
 
 	/*
-	 * There is room for the predecessors of two moves. A host that joins
-	 * again several times before it settles would need more, and without
-	 * room its keys went to the heirs. Its own incarnations are all gone,
-	 * so one place with the same successor tells as much as two.
+	 * The state keeps previous owners of two unsettled moves at most. A
+	 * host that joins again several times before it settles would need more
+	 * of them, and its keys went to the successors when there was no room.
+	 * Its earlier incarnations have all ended, so one entry with the same
+	 * successor records all that two would.
 	 */
 	if (sh->prev_owner && !fleet_member(f, sh->prev_owner) &&
 	    sh->prev_successor == sh->successor) {
@@ -72,12 +81,13 @@
 }
 
 /*
- * Where the earlier incarnation was named as an heir, the new one takes its
- * place and answers for what its backend server holds, which that server tells
- * in its heartbeats. Otherwise whoever takes such a shard must wait for as long
- * as the earlier one might have been granting it, a lease's length, for each
- * restart: with all processes killed at once that added up to seven seconds
- * without an owner, and to under three with this.
+ * Where the earlier incarnation was named as a successor, name the new one
+ * instead. The new one can tell other nodes what its backend server holds, as
+ * the server reports that in its heartbeats. Otherwise a member that takes
+ * over such a shard must wait as long as the earlier incarnation might still
+ * have been granting it, which is a lease duration for each restart. With all
+ * processes killed at once these waits added up to seven seconds without an
+ * owner, and to under three seconds with this rule.
  */
 static void replace_as_successor(struct shard *sh, int64_t old, int64_t new,
 				 int64_t offset)
@@ -90,7 +100,10 @@
 		sh->older_successor = new;
 }
 
-/* Give m what its host's earlier incarnation had, before that one goes. */
+/*
+ * Transfer to m what its host's earlier incarnation had. To be called before
+ * the earlier incarnation is removed.
+ */
 void rejoin_transfer_shards(struct fleet *f, const struct member *old,
 			    const struct member *m, int64_t offset,
 			    const json_t *record)
