--- a/state/scan.c
+++ b/state/scan.c
@@ -124,8 +124,8 @@
 		state = json_loadb(text->str, text->len, 0, NULL);
 		g_string_free(text, TRUE);
 		if (!state)
-			g_warning("the snapshot of offset %" G_GINT64_FORMAT
-				  " is no JSON",
+			g_warning("snapshot of the state at offset "
+				  "%" G_GINT64_FORMAT " is not valid JSON",
 				  (gint64)upto);
 		g_hash_table_remove(s->snapshots, &upto);
 	}
--- a/state/scan.h
+++ b/state/scan.h
@@ -7,8 +7,9 @@
 #include <jansson.h>
 
 /*
- * The records of a log whose beginning is gone, kept until its end is read:
- * then the newest snapshot among them is known, and what comes after it.
+ * Collects the records of a log whose beginning was trimmed. Once the log has
+ * been read to its end, the newest complete snapshot and the records after it
+ * are known.
  */
 
 struct scanned_record {
@@ -19,24 +20,24 @@
 
 struct log_scan {
 	GPtrArray *records; /* struct scanned_record, by offset */
-	GHashTable *snapshots; /* struct snapshot_parts by int64_t upto */
+	GHashTable *snapshots; /* int64_t upto -> struct snapshot_parts */
 };
 
-/* Set up on memory that the caller owns. */
+/* Initialise; the caller owns *s and ends its use by log_scan_finish(). */
 void log_scan_init(struct log_scan *s);
 void log_scan_finish(struct log_scan *s);
 
-/* Forget all. */
+/* Discard all records and snapshots. */
 void log_scan_clear(struct log_scan *s);
 
-/* Keep a record, and look whether it completes a snapshot. */
+/* Add a record, taking a reference; collects it if it is a snapshot part. */
 void log_scan_add(struct log_scan *s, int64_t offset, const char *id,
 		  const json_t *record);
 
 /*
- * Take out the newest whole snapshot of a state after an offset; the caller
- * drops the reference. NULL where there is none. Called again it gives the one
- * before, for when this one cannot be loaded.
+ * Remove and return the newest complete snapshot that includes records after an
+ * offset, or NULL if there is none. The caller drops the reference. If the
+ * snapshot cannot be loaded, another call returns the next older one.
  */
 json_t *log_scan_take_snapshot(struct log_scan *s, int64_t after);
 
--- a/state/snapshot.c
+++ b/state/snapshot.c
@@ -40,7 +40,7 @@
 	return list;
 }
 
-/* Write the whole state; the caller drops the reference. */
+/* The complete state as JSON; the caller drops the reference. */
 json_t *fleet_snapshot(const struct fleet *f)
 {
 	json_t *out = json_object();
@@ -218,9 +218,9 @@
 }
 
 /*
- * Replace the state by a snapshot that is not older. Returns RESULT_STALE for
- * an older one and RESULT_INVALID for a broken one; the state is untouched
- * then.
+ * Replace the state by a snapshot. Returns RESULT_OK, or, with the state
+ * unchanged, RESULT_STALE for a snapshot older than the state and
+ * RESULT_INVALID for a malformed one.
  */
 int fleet_load_snapshot(struct fleet *f, const json_t *snapshot)
 {
@@ -230,8 +230,8 @@
 	fleet_init(new);
 	err = load_state(new, snapshot);
 	/*
-	 * Going back to an older state would revive owners and a configuration
-	 * that this node has already seen replaced.
+	 * An older state would bring back owners and a configuration that this
+	 * node has already seen replaced.
 	 */
 	if (!err && new->applied < f->applied)
 		err = RESULT_STALE;
--- a/t/test-state.c
+++ b/t/test-state.c
@@ -408,7 +408,8 @@
 	scan_snapshot(&s, 30, 29, "{\"applied\":", true);
 	scan_snapshot(&s, 40, 39, "{\"applied\":39}", false);
 	g_assert_cmpuint(s.records->len, ==, 4);
-	g_test_expect_message(NULL, G_LOG_LEVEL_WARNING, "*29 is no JSON");
+	g_test_expect_message(NULL, G_LOG_LEVEL_WARNING,
+			      "*at offset 29 is not valid JSON");
 	g_assert_cmpint(take_snapshot(&s, -1), ==, 19);
 	g_test_assert_expected_messages();
 	g_assert_cmpint(take_snapshot(&s, 9), ==, -1);
