--- a/state/assign.c
+++ b/state/assign.c
@@ -54,7 +54,7 @@
 	const struct member *owner_member = fleet_member(f, owner);
 	struct member *best = NULL;
 	bool best_elsewhere = false;
-	uint32_t best_claims = 0;
+	uint32_t best_n_assigned = 0;
 	uint64_t best_hash = 0;
 	struct member *m;
 	uint32_t i;
@@ -69,15 +69,15 @@
 			    strcmp(owner_member->data_centre, m->data_centre);
 		if (best && (elsewhere < best_elsewhere ||
 			     (elsewhere == best_elsewhere &&
-			      m->n_assigned > best_claims)))
+			      m->n_assigned > best_n_assigned)))
 			continue;
 		h = hash_pair(m->host, shard);
 		if (best && elsewhere == best_elsewhere &&
-		    m->n_assigned == best_claims && h <= best_hash)
+		    m->n_assigned == best_n_assigned && h <= best_hash)
 			continue;
 		best = m;
 		best_elsewhere = elsewhere;
-		best_claims = m->n_assigned;
+		best_n_assigned = m->n_assigned;
 		best_hash = h;
 	}
 	if (best)
@@ -100,7 +100,7 @@
 }
 
 /* Of a host's members only the newest can still be running. */
-static bool is_newest(const struct fleet *f, const struct member *m)
+static bool is_newest_on_host(const struct fleet *f, const struct member *m)
 {
 	return fleet_member_by_host(f, m->host)->id == m->id;
 }
@@ -123,7 +123,7 @@
 			continue;
 		if (witness_set_has(chosen, m->process) ||
 		    (avoid && witness_set_has(avoid, m->process)) ||
-		    !is_newest(f, m))
+		    !is_newest_on_host(f, m))
 			continue;
 		score = strcmp(m->data_centre, subject->data_centre) &&
 			!data_centre_used(f, chosen, m->data_centre);
--- a/state/fleet.h
+++ b/state/fleet.h
@@ -31,7 +31,7 @@
  * Reason for moving a shard to the newer incarnation of its owner's host, which
  * keeps it: usually the node restarted and its backend server kept running.
  */
-#define FLEET_REASON_SERVER_KEPT "restarted beside its backend server"
+#define FLEET_REASON_SHARD_KEPT "restarted beside its backend server"
 #define HOST_MAX_LEN 63
 #define ADDRESS_MAX_LEN 63
 #define BOOT_ID_MAX_LEN 39
--- a/state/rejoin.c
+++ b/state/rejoin.c
@@ -72,12 +72,12 @@
 	if (sh->prev_owner && !fleet_member(f, sh->prev_owner) &&
 	    sh->prev_successor == sh->successor) {
 		fleet_set_owner(f, s, i, m->id, offset, record,
-				FLEET_REASON_SERVER_KEPT);
+				FLEET_REASON_SHARD_KEPT);
 		fleet_set_successor(sh, sh->successor, offset);
 		return;
 	}
 	fleet_move_shard(f, s, i, m->id, sh->successor, offset, record,
-			 FLEET_REASON_SERVER_KEPT);
+			 FLEET_REASON_SHARD_KEPT);
 }
 
 /*
