--- a/member/holds.c
+++ b/member/holds.c
@@ -30,7 +30,7 @@
 {
 	const struct fleet_service *s = member_service(n);
 
-	return s && s->key_numbers && n->join_info.life[0];
+	return s && s->key_numbers && n->join_info.server_instance_id[0];
 }
 
 /* Whether the log, or a proved stop of the owner, gives us the shard. */
@@ -75,9 +75,9 @@
 static void predecessors_of(const struct shard *sh,
 			    struct predecessors p[MAX_PREDECESSORS])
 {
-	p[0] = (struct predecessors){ sh->from, sh->from_successor, CLEAR_FROM,
-				      CLEAR_SUCCESSOR };
-	p[1] = (struct predecessors){ sh->earlier_from, sh->earlier_successor,
+	p[0] = (struct predecessors){ sh->prev_owner, sh->prev_successor,
+				      CLEAR_FROM, CLEAR_SUCCESSOR };
+	p[1] = (struct predecessors){ sh->older_owner, sh->older_successor,
 				      CLEAR_EARLIER_FROM,
 				      CLEAR_EARLIER_SUCCESSOR };
 }
@@ -118,9 +118,9 @@
 {
 	const struct shard *sh = holds_shard(n, i);
 
-	if (!sh->from)
+	if (!sh->prev_owner)
 		return true;
-	if (sh->from == n->self_id)
+	if (sh->prev_owner == n->self_id)
 		return predecessors_clear(n, i);
 	return n->holds[i].state == HOLD_HELD;
 }
@@ -130,7 +130,7 @@
 {
 	const struct shard *sh = holds_shard(n, i);
 
-	return n->holds[i].step ? sh->heir_fence * 2 + 1 : sh->fence * 2;
+	return n->holds[i].step ? sh->successor_fence * 2 + 1 : sh->fence * 2;
 }
 
 static void acquire(struct member_node *n, uint32_t i)
@@ -171,7 +171,7 @@
 	if (!rule_enabled(n, RULE_WAIT_AFTER_START))
 		return true;
 	if (!holds_granted(n) || holds_guard_ms(n) ||
-	    n->fleet.log_witnessed_gone)
+	    n->fleet.log_witnessed_removed)
 		return false;
 	predecessors_of(holds_shard(n, i), p);
 	for (k = 0; k < MAX_PREDECESSORS; k++)
@@ -631,7 +631,7 @@
 {
 	if (!(msg->flags & RELEASE_HAS_IDS))
 		return;
-	if (msg->from == sh->from) {
+	if (msg->from == sh->prev_owner) {
 		h->has_ids = true;
 		h->blind_since_ms = 0;
 	}
@@ -747,5 +747,5 @@
 		return false;
 	owner = fleet_member(&n->fleet, holds_shard(n, shard)->owner);
 	return owner && !strcmp(owner->host, n->join_info.host) &&
-	       n->join_info.life[0] && !strcmp(owner->life, n->join_info.life);
+	       n->join_info.server_instance_id[0] && !strcmp(owner->server_instance_id, n->join_info.server_instance_id);
 }
--- a/member/member.c
+++ b/member/member.c
@@ -33,7 +33,7 @@
 	n->ahead_applied = -1;
 	n->published_source = -1;
 	n->changes_source = -1;
-	n->required_source_offset = n->fleet.source;
+	n->required_source_offset = n->fleet.source_offset;
 	n->rand = g_rand_new_with_seed(seed);
 	/*
 	 * When a record that is read at the start was appended is unknown, so a
@@ -172,14 +172,14 @@
 	case FLEET_MEMBER_JOINED:
 		on_member_joined(n, ev->member);
 		break;
-	case FLEET_MEMBER_GONE:
+	case FLEET_MEMBER_REMOVED:
 		holds_on_gone(n, ev);
 		on_member_removed(n, ev->member);
 		break;
 	case FLEET_SHARD_MOVED:
 		holds_on_moved(n, ev);
 		break;
-	case FLEET_SUCCESSOR_GONE:
+	case FLEET_SUCCESSOR_REMOVED:
 		holds_on_successor_gone(n, ev);
 		break;
 	default:
@@ -245,7 +245,7 @@
 	int err;
 
 	n->now_ms = MAX(n->now_ms, now_ms);
-	err = fleet_load(&n->fleet, snapshot);
+	err = fleet_load_snapshot(&n->fleet, snapshot);
 	if (err)
 		return err;
 	n->fleet.snapshot_upto = n->fleet.applied;
@@ -256,7 +256,7 @@
 void member_set_published(struct member_node *n, int64_t source, uint32_t bytes,
 			  int64_t now_ms)
 {
-	bool pending = n->published_source > n->fleet.source;
+	bool pending = n->published_source > n->fleet.source_offset;
 
 	n->now_ms = MAX(n->now_ms, now_ms);
 	n->published_source = source;
@@ -273,7 +273,7 @@
 
 void member_set_server_instance(struct member_node *n, const char *instance)
 {
-	g_strlcpy(n->join_info.life, instance, sizeof(n->join_info.life));
+	g_strlcpy(n->join_info.server_instance_id, instance, sizeof(n->join_info.server_instance_id));
 }
 
 bool member_lease_needs_log(const struct member_node *n)
@@ -296,7 +296,7 @@
 
 bool member_is_behind(const struct member_node *n)
 {
-	return n->published_source > n->fleet.source ||
+	return n->published_source > n->fleet.source_offset ||
 	       n->ahead_applied > n->fleet.applied;
 }
 
@@ -310,7 +310,7 @@
 {
 	if (n->published_in_force || !n->log_caught_up ||
 	    n->operator_stream_pending ||
-	    n->required_source_offset > n->fleet.source)
+	    n->required_source_offset > n->fleet.source_offset)
 		return;
 	n->published_in_force = true;
 	member_note(n, NOTE_CURRENT, n->fleet.configuration_version);
@@ -521,12 +521,12 @@
 	bool owner_stopped = member_known_stopped(n, sh->owner);
 	uint32_t count = 0;
 
-	if (sh->from && !member_known_stopped(n, sh->from))
-		count = add_candidate(n, sh->from, out, count, max);
+	if (sh->prev_owner && !member_known_stopped(n, sh->prev_owner))
+		count = add_candidate(n, sh->prev_owner, out, count, max);
 	if (!owner_stopped)
 		count = add_candidate(n, sh->owner, out, count, max);
 	count = add_candidate(n, sh->successor, out, count, max);
-	count = add_candidate(n, sh->from_successor, out, count, max);
-	count = add_candidate(n, sh->earlier_from, out, count, max);
+	count = add_candidate(n, sh->prev_successor, out, count, max);
+	count = add_candidate(n, sh->older_owner, out, count, max);
 	return add_candidate(n, sh->owner, out, count, max);
 }
--- a/member/propose.c
+++ b/member/propose.c
@@ -368,7 +368,7 @@
 	for (i = 0; s && i < n->n_holds; i++)
 		*useful = *useful ||
 			  (s->shards[i].owner == n->self_id &&
-			   s->shards[i].from && s->shards[i].fence <= upto);
+			   s->shards[i].prev_owner && s->shards[i].fence <= upto);
 	return upto;
 }
 
@@ -400,7 +400,7 @@
 	uint32_t i;
 
 	for (i = 0; i < s->n_shards; i++)
-		if (s->shards[i].from)
+		if (s->shards[i].prev_owner)
 			return false;
 	return true;
 }
@@ -438,7 +438,7 @@
 	const struct fleet_service *s = member_service(n);
 
 	return s && shard < n->n_holds &&
-	       s->shards[shard].owner == n->self_id && !s->shards[shard].from &&
+	       s->shards[shard].owner == n->self_id && !s->shards[shard].prev_owner &&
 	       n->holds[shard].state == HOLD_HELD;
 }
 
@@ -615,7 +615,7 @@
 		       hash_pair(n->join_info.host, n->published_source) %
 			       PUBLISH_SPREAD_MS;
 
-	if (n->published_source <= n->fleet.source) {
+	if (n->published_source <= n->fleet.source_offset) {
 		drop_wanted(n);
 		return;
 	}
--- a/state/records.c
+++ b/state/records.c
@@ -1,7 +1,7 @@
 #include "state/records.h"
 #include "util/result.h"
 
-static json_t *make(const char *type)
+static json_t *new_record(const char *type)
 {
 	json_t *r = json_object();
 
@@ -19,7 +19,7 @@
 	json_object_set_new(r, name, json_integer(value));
 }
 
-/* Write a witness set as a list of member ids. */
+/* Write a witness set as a list of process ids and LOG_WITNESS. */
 json_t *witness_set_to_json(const struct witness_set *w)
 {
 	json_t *list = json_array();
@@ -30,7 +30,10 @@
 	return list;
 }
 
-/* Read a witness set; RESULT_INVALID when it is not a short list of ids. */
+/*
+ * Read a witness set. Returns RESULT_OK, or RESULT_INVALID unless list is an
+ * array of at most FLEET_MAX_WITNESSES integers.
+ */
 int witness_set_from_json(struct witness_set *w, const json_t *list)
 {
 	json_t *v;
@@ -48,10 +51,10 @@
 	return RESULT_OK;
 }
 
-/* A new incarnation of a host asks to be a member. */
+/* Make a new incarnation of a host a member. */
 json_t *record_join(const struct member *m)
 {
-	json_t *r = make("join");
+	json_t *r = new_record("join");
 
 	set_text(r, "host", m->host);
 	set_text(r, "data_centre", m->data_centre);
@@ -60,17 +63,20 @@
 	set_text(r, "caller", m->caller);
 	set_text(r, "boot_id", m->boot_id);
 	set_text(r, "nonce", m->nonce);
-	if (m->life[0])
-		set_text(r, "life", m->life);
+	if (m->server_instance_id[0])
+		set_text(r, "life", m->server_instance_id);
 	set_number(r, "process", m->process);
 	json_object_set_new(r, "witnesses", witness_set_to_json(&m->witnesses));
 	return r;
 }
 
-/* Members proved to have stopped leave; add each with record_expel_add(). */
+/*
+ * Remove members that are proved to have stopped. Starts with an empty list;
+ * record_expel_add() adds each member.
+ */
 json_t *record_expel(int64_t by, const char *reason)
 {
-	json_t *r = make("expel");
+	json_t *r = new_record("expel");
 
 	json_object_set_new(r, "members", json_array());
 	set_number(r, "by", by);
@@ -78,7 +84,7 @@
 	return r;
 }
 
-/* Add one member, proved stopped under the witness set it has in m. */
+/* Add a member that was proved to have stopped by the witnesses named in m. */
 void record_expel_add(json_t *record, const struct member *m)
 {
 	json_t *item = json_object();
@@ -88,10 +94,13 @@
 	json_array_append_new(json_object_get(record, "members"), item);
 }
 
-/* A batch of planned moves of one service's shards. */
+/*
+ * Planned moves of one service's shards. Starts with an empty list;
+ * record_move_add() adds each shard.
+ */
 json_t *record_move(const char *service, int64_t by, const char *reason)
 {
-	json_t *r = make("move");
+	json_t *r = new_record("move");
 
 	set_text(r, "service", service);
 	json_object_set_new(r, "items", json_array());
@@ -100,7 +109,7 @@
 	return r;
 }
 
-/* Add one shard, valid only while its fence is base_fence. */
+/* Add the move of one shard, dropped unless its fence is still base_fence. */
 void record_move_add(json_t *record, uint32_t shard, int64_t owner,
 		     int64_t successor, int64_t base_fence)
 {
@@ -113,10 +122,10 @@
 	json_array_append_new(json_object_get(record, "items"), item);
 }
 
-/* The shards of a service that nobody owns go to its members. */
+/* Assign the shards of a service that have no owner to its members. */
 json_t *record_place(const char *service, int64_t by)
 {
-	json_t *r = make("place");
+	json_t *r = new_record("place");
 
 	set_text(r, "service", service);
 	set_number(r, "by", by);
@@ -124,23 +133,23 @@
 }
 
 /*
- * The member holds every shard moved to it up to an offset, and uses only
- * the witnesses set up to there.
+ * State that the member holds every shard moved to it by records up to an
+ * offset, and uses only the witnesses set by records up to there.
  */
 json_t *record_settle(int64_t member, int64_t upto)
 {
-	json_t *r = make("settle");
+	json_t *r = new_record("settle");
 
 	set_number(r, "member", member);
 	set_number(r, "upto", upto);
 	return r;
 }
 
-/* The member asks for other witnesses, instead of those set at base. */
+/* Replace the member's witnesses, if they were set by the record at base. */
 json_t *record_witnesses(int64_t member, int64_t base,
 			 const struct witness_set *w)
 {
-	json_t *r = make("witnesses");
+	json_t *r = new_record("witnesses");
 
 	set_number(r, "member", member);
 	set_number(r, "base", base);
@@ -148,11 +157,11 @@
 	return r;
 }
 
-/* A whole configuration that replaces the one of version base. */
+/* Replace the configuration of version base by document, a complete one. */
 json_t *record_configuration(int64_t base, json_t *document, const char *by,
 			     const char *reason)
 {
-	json_t *r = make("configuration");
+	json_t *r = new_record("configuration");
 
 	set_number(r, "base", base);
 	json_object_set(r, "document", document);
@@ -162,28 +171,30 @@
 }
 
 /*
- * Changes, as changes_between() has them, to the configuration of version base,
- * worked out from what operators published up to source; takes them over.
+ * Apply changes, in the form of changes_between(), to the configuration of
+ * version base. They were derived from what operators published in their own
+ * stream up to the offset source; complete is false when they are only a part
+ * of that. Takes over the reference to changes.
  */
 json_t *record_changes(int64_t base, json_t *changes, int64_t source,
-		       bool whole, int64_t by)
+		       bool complete, int64_t by)
 {
-	json_t *r = make("changes");
+	json_t *r = new_record("changes");
 
 	set_number(r, "base", base);
 	json_object_set_new(r, "changes", changes);
 	set_number(r, "source", source);
-	json_object_set_new(r, "whole", json_boolean(whole));
+	json_object_set_new(r, "whole", json_boolean(complete));
 	set_number(r, "by", by);
 	set_text(r, "reason", "published");
 	return r;
 }
 
-/* One part of the state as it stood after the record at upto. */
+/* One part, of parts, of a snapshot of the state after the record at upto. */
 json_t *record_snapshot(int64_t upto, uint32_t part, uint32_t parts,
 			const char *data, size_t len)
 {
-	json_t *r = make("snapshot");
+	json_t *r = new_record("snapshot");
 
 	set_number(r, "upto", upto);
 	set_number(r, "part", part);
