--- a/gate/admission.c
+++ b/gate/admission.c
@@ -5,7 +5,7 @@
 #include "util/result.h"
 
 #define QUEUE_PER_SLOT 4
-#define MIN_WAIT_MS 100
+#define MIN_RETRY_AFTER_MS 100
 /* Of the time until a request is late; the rest is for its work. */
 #define LINK_TARGET_SHARE 0.4
 /* Refusing an answer as short as this would not help those behind it. */
@@ -17,7 +17,7 @@
 	memset(a, 0, sizeof(*a));
 	link_init(&a->link, link_mbps);
 	queue_init(&a->queue, QUEUE_PER_SLOT);
-	cold_init(&a->cold, now_ms);
+	cold_start_init(&a->cold_start, now_ms);
 	limit_init(&a->limit, limit, 1, now_ms);
 }
 
@@ -26,8 +26,8 @@
 	queue_finish(&a->queue);
 }
 
-void admission_announce(struct admission *a, const struct limit_ops *limit,
-			uint32_t slots, int64_t now_ms)
+void admission_reset(struct admission *a, const struct limit_ops *limit,
+		     uint32_t slots, int64_t now_ms)
 {
 	a->queue.max = slots * QUEUE_PER_SLOT;
 	limit_init(&a->limit, limit, slots, now_ms);
@@ -38,10 +38,10 @@
  * would queue there and all be late; of those refused in time most are served
  * elsewhere, or find room when they come back.
  */
-static bool link_can_meet(const struct admission *a, const struct queued *in,
-			  int64_t now_ms)
+static bool link_can_send_in_time(const struct admission *a,
+				  const struct queued *in, int64_t now_ms)
 {
-	double bytes = queue_usual_bytes(&a->queue, in->class_index);
+	double bytes = queue_avg_answer_bytes(&a->queue, in->class_index);
 
 	if (!in->remote)
 		return true;
@@ -54,93 +54,97 @@
 }
 
 int admission_offer(struct admission *a, const struct queued *in,
-		    bool elsewhere, int64_t now_ms, struct queued **victim)
+		    bool has_alternative, int64_t now_ms,
+		    struct queued **victim)
 {
 	*victim = NULL;
 	/*
 	 * Others of the service can take this one; here it would share the
 	 * stall of those in flight, or wait until a cold server bears more.
 	 */
-	if (elsewhere && (a->limit.stalled || !cold_allows(&a->cold, now_ms)))
+	if (has_alternative &&
+	    (a->limit.stalled || !cold_start_allows(&a->cold_start, now_ms)))
 		return RESULT_OVERLOAD;
 	/* Late already: refused now, its caller can still go elsewhere. */
-	if (!queue_can_meet(&a->queue, now_ms, in, a->n_running, a->limit.now))
+	if (!queue_can_finish_in_time(&a->queue, now_ms, in, a->n_in_flight,
+				      a->limit.allowed))
 		return RESULT_OVERLOAD;
-	if (!link_can_meet(a, in, now_ms)) {
+	if (!link_can_send_in_time(a, in, now_ms)) {
 		COUNT(gate_refused_link);
 		return RESULT_OVERLOAD;
 	}
-	if (!limit_allows(&a->limit, a->n_running))
+	if (!limit_allows(&a->limit, a->n_in_flight))
 		COUNT(gate_queued);
 	*victim = queue_push(&a->queue, in);
 	return RESULT_OK;
 }
 
-double admission_promise(struct admission *a, const struct queued *in)
+double admission_reserve_link(struct admission *a, const struct queued *in)
 {
 	double bytes = 0;
 
 	if (in->remote)
-		bytes = queue_usual_bytes(&a->queue, in->class_index);
-	link_promise(&a->link, bytes);
+		bytes = queue_avg_answer_bytes(&a->queue, in->class_index);
+	link_reserve(&a->link, bytes);
 	return bytes;
 }
 
 bool admission_next(struct admission *a, int64_t now_ms, struct queued *out)
 {
-	return a->queue.heap->len && limit_allows(&a->limit, a->n_running) &&
-	       cold_allows(&a->cold, now_ms) &&
-	       queue_next(&a->queue, now_ms, a->limit.now, out);
+	return a->queue.heap->len && limit_allows(&a->limit, a->n_in_flight) &&
+	       cold_start_allows(&a->cold_start, now_ms) &&
+	       queue_next(&a->queue, now_ms, a->limit.allowed, out);
 }
 
-bool admission_overtaken(struct admission *a, int64_t now_ms,
-			 struct queued *out)
+bool admission_pop_overtaken(struct admission *a, int64_t now_ms,
+			     struct queued *out)
 {
-	return queue_pop_overtaken(&a->queue, now_ms, a->n_running,
-				   a->limit.now, out);
+	return queue_pop_overtaken(&a->queue, now_ms, a->n_in_flight,
+				   a->limit.allowed, out);
 }
 
 void admission_started(struct admission *a, int64_t now_ms)
 {
-	a->n_running++;
-	cold_sent(&a->cold, now_ms);
+	a->n_in_flight++;
+	cold_start_record_send(&a->cold_start, now_ms);
 }
 
 void admission_done(struct admission *a, uint32_t class_index,
-		    enum limit_outcome outcome, double ms, int64_t started_ms,
-		    int64_t now_ms)
+		    enum limit_outcome outcome, double service_ms,
+		    int64_t started_ms, int64_t now_ms)
 {
-	a->n_running--;
-	limit_done(&a->limit, outcome, ms, started_ms, now_ms);
+	a->n_in_flight--;
+	limit_done(&a->limit, outcome, service_ms, started_ms, now_ms);
 	if (outcome != LIMIT_ANSWERED)
 		return;
-	queue_learn(&a->queue, class_index, ms);
+	queue_update_service_ms(&a->queue, class_index, service_ms);
 	queue_count(&a->queue, class_index, false);
 }
 
 void admission_cancelled(struct admission *a)
 {
-	a->n_running--;
+	a->n_in_flight--;
 }
 
-bool admission_needs_watch(const struct admission *a, int64_t now_ms)
+bool admission_needs_timer(const struct admission *a, int64_t now_ms)
 {
-	if (a->limit.ops->watch && a->n_running)
+	if (a->limit.ops->check_stall && a->n_in_flight)
 		return true;
-	return a->queue.heap->len && cold_now(&a->cold, now_ms);
+	return a->queue.heap->len &&
+	       cold_start_is_active(&a->cold_start, now_ms);
 }
 
 uint32_t admission_load(const struct admission *a)
 {
-	return a->n_running + a->queue.heap->len;
+	return a->n_in_flight + a->queue.heap->len;
 }
 
-int64_t admission_wait_ms(const struct admission *a, double jitter,
-			  int64_t now_ms)
+int64_t admission_retry_after_ms(const struct admission *a, double jitter,
+				 int64_t now_ms)
 {
 	double drain = a->queue.heap->len * a->queue.service_ms /
-		       MAX(a->limit.now, 1.0);
+		       MAX(a->limit.allowed, 1.0);
 	double wait = MAX(drain, link_wait_ms(&a->link, 0, now_ms));
 
-	return (int64_t)((MIN_WAIT_MS + wait) * (1 + jitter));
+	return (int64_t)((MIN_RETRY_AFTER_MS + wait) * (1 + jitter));
 }
--- a/gate/admission.h
+++ b/gate/admission.h
@@ -20,9 +20,9 @@
 struct admission {
 	struct limit limit;
 	struct queue queue;
-	struct cold cold;
+	struct cold_start cold_start;
 	struct link link;
-	uint32_t n_running; /* handed to the backend server */
+	uint32_t n_in_flight; /* handed to the backend server */
 };
 
 void admission_init(struct admission *a, const struct limit_ops *limit,
@@ -30,8 +30,8 @@
 void admission_finish(struct admission *a);
 
 /* A backend server with slots announced itself: it has just started. */
-void admission_announce(struct admission *a, const struct limit_ops *limit,
-			uint32_t slots, int64_t now_ms);
+void admission_reset(struct admission *a, const struct limit_ops *limit,
+		     uint32_t slots, int64_t now_ms);
 
 /*
  * A request arrives. elsewhere: another gate could serve it as well. Returns
@@ -40,13 +40,14 @@
  * be refused in its place, or NULL; the caller frees it.
  */
 int admission_offer(struct admission *a, const struct queued *in,
-		    bool elsewhere, int64_t now_ms, struct queued **victim);
+		    bool has_alternative, int64_t now_ms,
+		    struct queued **victim);
 
 /*
  * What a request that was taken will bring over the link, by its class. Give it
  * to link_withdraw() when the request has ended, however it did.
  */
-double admission_promise(struct admission *a, const struct queued *in);
+double admission_reserve_link(struct admission *a, const struct queued *in);
 
 /* The next request to begin now; false when none may be, or none waits. */
 bool admission_next(struct admission *a, int64_t now_ms, struct queued *out);
@@ -55,8 +56,8 @@
  * One that waits and will not be done in time any more, to be refused while its
  * caller can still go elsewhere or come back; false when there is none.
  */
-bool admission_overtaken(struct admission *a, int64_t now_ms,
-			 struct queued *out);
+bool admission_pop_overtaken(struct admission *a, int64_t now_ms,
+			     struct queued *out);
 
 /* One was handed to the backend server. */
 void admission_started(struct admission *a, int64_t now_ms);
@@ -66,8 +67,8 @@
  * was answered whole tells how long its class takes.
  */
 void admission_done(struct admission *a, uint32_t class_index,
-		    enum limit_outcome outcome, double ms, int64_t started_ms,
-		    int64_t now_ms);
+		    enum limit_outcome outcome, double service_ms,
+		    int64_t started_ms, int64_t now_ms);
 
 /* One was given up while the server worked on it. */
 void admission_cancelled(struct admission *a);
@@ -76,7 +77,7 @@
  * Whether it must be looked at again within milliseconds: for a stall, or
  * because a cold server may be sent more by then.
  */
-bool admission_needs_watch(const struct admission *a, int64_t now_ms);
+bool admission_needs_timer(const struct admission *a, int64_t now_ms);
 
 /* Requests that run or wait. */
 uint32_t admission_load(const struct admission *a);
@@ -86,7 +87,7 @@
  * the link takes to drain, spread by jitter in [0, 1), so that they do not all
  * return at once.
  */
-int64_t admission_wait_ms(const struct admission *a, double jitter,
-			  int64_t now_ms);
+int64_t admission_retry_after_ms(const struct admission *a, double jitter,
+				 int64_t now_ms);
 
 #endif
--- a/gate/delay.h
+++ b/gate/delay.h
@@ -11,15 +11,15 @@
  */
 
 struct delay {
-	int64_t least_ms; /* of this span */
-	int64_t before_ms; /* of the one before */
-	int64_t since_ms; /* when this span began */
+	int64_t min_offset_ms; /* of this span */
+	int64_t prev_min_offset_ms; /* of the one before */
+	int64_t window_start_ms; /* when this span began */
 };
 
 /* Begin with a first message. */
 void delay_init(struct delay *d, int64_t sent_ms, int64_t arrived_ms);
 
 /* Milliseconds that a message took beyond the fastest of late; 0 or more. */
-int64_t delay_learn(struct delay *d, int64_t sent_ms, int64_t arrived_ms);
+int64_t delay_update(struct delay *d, int64_t sent_ms, int64_t arrived_ms);
 
 #endif
--- a/gate/grant-beat.h
+++ b/gate/grant-beat.h
@@ -15,12 +15,12 @@
  */
 
 /*
- * A heartbeat of number beat. hold_max_ms bounds how long a grant that a
+ * A heartbeat of number heartbeat. hold_max_ms bounds how long a grant that a
  * process before this one gave can last.
  */
-void grant_beat_heard(struct grants *g, int64_t beat, const GArray *holds,
-		      const GArray *released, int64_t hold_max_ms,
-		      int64_t now_ms);
+void grant_heartbeat_received(struct grants *g, int64_t heartbeat,
+			      const GArray *holds, const GArray *released,
+			      int64_t hold_max_ms, int64_t now_ms);
 
 /*
  * The rows (struct grant_row) that the answer to a heartbeat should name, those
@@ -28,16 +28,18 @@
  * they hold. NULL when nothing can be said of any shard, which changes nothing
  * at the server. The caller frees.
  */
-GArray *grant_beat_rows(const struct grants *g, const struct grant_owner *o,
-			bool with_handovers, int64_t hold_max_ms,
-			int64_t now_ms, int64_t *hold_ms);
+GArray *grant_heartbeat_rows(const struct grants *g,
+			     const struct grant_owner *o, bool with_handovers,
+			     int64_t hold_max_ms, int64_t now_ms,
+			     int64_t *hold_ms);
 
 /*
- * The answer to heartbeat number beat names the first n_named of the rows. The
- * server lets all else go: that counts as held until it says so or the hold has
- * run out, but no longer as granted.
+ * The answer to heartbeat number heartbeat names the first n_named of the rows.
+ * The server lets all else go: that counts as held until it says so or the hold
+ * has run out, but no longer as granted.
  */
-void grant_beat_given(struct grants *g, const GArray *rows, uint32_t n_named,
-		      int64_t beat, int64_t hold_ms, int64_t now_ms);
+void grant_heartbeat_answered(struct grants *g, const GArray *rows,
+			      uint32_t n_named, int64_t heartbeat,
+			      int64_t hold_ms, int64_t now_ms);
 
 #endif
--- a/gate/grant-call.c
+++ b/gate/grant-call.c
@@ -9,34 +9,34 @@
  * A longer one would keep keys from their next owner for longer after a
  * restart: a new process waits for all that the one before may have sent.
  */
-#define LONGEST_HOLD_MS 2200
+#define MAX_HOLD_MS 2200
 /* Time for a call's bytes to leave: a busy loop, a connection to open. */
-#define SEND_MS 150
+#define SEND_TIMEOUT_MS 150
 /*
  * A hold is renewed when less than this is left, early enough for some calls
  * that get no answer. Runs differ by up to the spread, so that they are not all
  * renewed at one moment.
  */
-#define RENEW_LEFT_MS 1100
+#define RENEW_BEFORE_END_MS 1100
 #define RENEW_SPREAD_MS 400
 /* A renewal that gains less is not worth its call. */
-#define MIN_GAIN_MS 300
+#define MIN_RENEWAL_GAIN_MS 300
 #define RETRY_MS 50
 /* After the server named a higher fence: time to read what gave it. */
 #define FENCED_RETRY_MS 500
 
 #ifdef RULE_SWITCHES
-#define rule_on(g, rule) (!((g)->disabled_rules & (rule)))
+#define rule_enabled(g, rule) (!((g)->disabled_rules & (rule)))
 #else
-#define rule_on(g, rule) ((void)(g), true)
+#define rule_enabled(g, rule) ((void)(g), true)
 #endif
 
-static int64_t past_ms(int64_t lease_ms)
+static int64_t prev_process_hold_ms(int64_t lease_ms)
 {
-	int64_t longest_ms =
-		SEND_MS + (int64_t)(LONGEST_HOLD_MS * GRANT_SLOW_CLOCK);
+	int64_t max_ms = SEND_TIMEOUT_MS +
+			 (int64_t)(MAX_HOLD_MS * GRANT_CLOCK_DRIFT_FACTOR);
 
-	return MIN(lease_ms, longest_ms) + GRANT_MARGIN_MS;
+	return MIN(lease_ms, max_ms) + GRANT_MARGIN_MS;
 }
 
 /*
@@ -45,16 +45,18 @@
  */
 static void on_resize(struct grants *g)
 {
-	bool doubt_lasts = rule_on(g, GRANT_RULE_PAST_COUNTS) &&
-			   rule_on(g, GRANT_RULE_PAST_DOUBT_LASTS);
+	bool in_doubt_counts =
+		rule_enabled(g, GRANT_RULE_PREV_PROCESS) &&
+		rule_enabled(g, GRANT_RULE_PREV_PROCESS_IN_DOUBT);
 	uint32_t i;
 
 	for (i = 0; i < g->n_shards; i++) {
 		struct grant *s = &g->shards[i];
 
 		s->state = GRANT_UNKNOWN;
-		s->until_ms = g->past_until_ms;
-		s->doubt_until_ms = doubt_lasts ? g->past_until_ms : 0;
+		s->may_hold_until_ms = g->prev_process_until_ms;
+		s->in_doubt_until_ms =
+			in_doubt_counts ? g->prev_process_until_ms : 0;
 	}
 }
 
@@ -64,26 +66,26 @@
  * before. So it is asked to let all of it go, as if a process before this one
  * had given it.
  */
-static void on_life(struct grants *g)
+static void on_new_instance(struct grants *g)
 {
 	uint32_t i;
 
-	g->n_lives++;
+	g->n_instances++;
 	for (i = 0; i < g->n_shards; i++) {
 		struct grant *s = &g->shards[i];
 
 		if (s->state == GRANT_HELD)
 			s->state = GRANT_UNKNOWN;
-		s->sure_until_ms = 0;
-		s->fenced = 0;
-		s->retry_ms = 0;
+		s->holds_until_ms = 0;
+		s->rejected_fence = 0;
+		s->retry_at_ms = 0;
 		g_clear_pointer(&s->handover_in, g_free);
 		g_clear_pointer(&s->handover_out, g_free);
 	}
 }
 
 /* What was sent before has ended with it; what is on its way has not arrived. */
-static void on_ended(struct grants *g)
+static void on_server_stopped(struct grants *g)
 {
 	uint32_t i;
 
@@ -92,10 +94,10 @@
 
 		s->state = GRANT_FREE;
 		s->fence = 0;
-		s->until_ms = 0;
-		s->sure_until_ms = 0;
-		s->doubt_until_ms = 0;
-		s->doubt_fence = 0;
+		s->may_hold_until_ms = 0;
+		s->holds_until_ms = 0;
+		s->in_doubt_until_ms = 0;
+		s->in_doubt_fence = 0;
 	}
 }
 
@@ -103,24 +105,25 @@
 {
 	const struct grant *s = &g->shards[shard];
 
-	if (s->asked && rule_on(g, GRANT_RULE_ASKED_COUNTS))
+	if (s->call_in_flight && rule_enabled(g, GRANT_RULE_IN_FLIGHT))
 		return true;
-	if (s->state == GRANT_UNKNOWN && !rule_on(g, GRANT_RULE_PAST_COUNTS))
+	if (s->state == GRANT_UNKNOWN &&
+	    !rule_enabled(g, GRANT_RULE_PREV_PROCESS))
 		return false;
-	return now_ms < s->until_ms || now_ms < s->doubt_until_ms;
+	return now_ms < s->may_hold_until_ms || now_ms < s->in_doubt_until_ms;
 }
 
 /*
  * A shard held under an older fence is as good: it has not been with anyone
  * else since, and its next renewal raises the fence.
  */
-static bool granted(const struct grants *g, uint32_t shard, int64_t fence,
-		    int64_t now_ms)
+static bool server_holds(const struct grants *g, uint32_t shard, int64_t fence,
+			 int64_t now_ms)
 {
 	const struct grant *s = &g->shards[shard];
 
 	return s->state == GRANT_HELD && s->fence <= fence &&
-	       now_ms < s->sure_until_ms;
+	       now_ms < s->holds_until_ms;
 }
 
 static void on_misdirected(struct grants *g, uint32_t shard, int64_t now_ms)
@@ -131,60 +134,63 @@
 	if (s->state != GRANT_HELD)
 		return;
 	/* Given anew at once; may_hold() still counts what was given. */
-	s->sure_until_ms = 0;
-	s->retry_ms = 0;
+	s->holds_until_ms = 0;
+	s->retry_at_ms = 0;
 	COUNT(grants_misdirected);
 }
 
 const struct grant_ops grant_by_call = {
 	.name = "call",
-	.past_ms = past_ms,
+	.prev_process_hold_ms = prev_process_hold_ms,
 	.on_resize = on_resize,
-	.on_life = on_life,
-	.on_ended = on_ended,
+	.on_new_instance = on_new_instance,
+	.on_server_stopped = on_server_stopped,
 	.on_misdirected = on_misdirected,
 	.may_hold = may_hold,
-	.granted = granted,
+	.server_holds = server_holds,
 };
 
-void grant_call_heard(struct grants *g)
+void grant_call_heartbeat_received(struct grants *g)
 {
-	g->heard = true;
+	g->heartbeat_seen = true;
 }
 
-static void expire(struct grant *s, int64_t now_ms)
+static void expire_hold(struct grant *s, int64_t now_ms)
 {
-	if (s->state == GRANT_FREE || s->asked || now_ms < s->until_ms)
+	if (s->state == GRANT_FREE || s->call_in_flight ||
+	    now_ms < s->may_hold_until_ms)
 		return;
 	s->state = GRANT_FREE;
 	s->fence = 0;
-	s->sure_until_ms = 0;
+	s->holds_until_ms = 0;
 }
 
 /* What a scan of the shards knows of one of them. */
-struct wish {
-	bool give; /* it is ours to serve under fence */
-	bool take_back;
+struct shard_action {
+	bool grant; /* it is ours to serve under fence */
+	bool release;
 	int64_t fence;
 };
 
-static struct wish wish_of(const struct grants *g, const struct grant_owner *o,
-			   uint32_t i, int64_t now_ms)
+static struct shard_action find_shard_action(const struct grants *g,
+					     const struct grant_owner *o,
+					     uint32_t i, int64_t now_ms)
 {
 	const struct grant *s = &g->shards[i];
-	struct wish w = { 0 };
-
-	if (s->asked || now_ms < s->retry_ms)
-		return w;
-	if (now_ms < o->lease_end_ms && o->ops->serves(o->user, i, &w.fence)) {
-		w.give = w.fence > s->fenced;
-		return w;
+	struct shard_action action = { 0 };
+
+	if (s->call_in_flight || now_ms < s->retry_at_ms)
+		return action;
+	if (now_ms < o->lease_end_ms &&
+	    o->ops->serves(o->user, i, &action.fence)) {
+		action.grant = action.fence > s->rejected_fence;
+		return action;
 	}
 	/* What the log gives us, or is about to, stays though we may not serve
 	 * it at this moment: let go it would come back cold. */
-	w.take_back = s->state != GRANT_FREE && o->current &&
-		      !o->ops->expects(o->user, i);
-	return w;
+	action.release = s->state != GRANT_FREE && o->is_caught_up &&
+			 !o->ops->expects(o->user, i);
+	return action;
 }
 
 static bool same_handover(const struct grant *a, const struct grant *b)
@@ -192,25 +198,27 @@
 	return !g_strcmp0(a->handover_in, b->handover_in);
 }
 
-static int64_t renew_left_ms(uint32_t first)
+static int64_t renewal_threshold_ms(uint32_t first)
 {
 	/* Neighbouring runs differ; the multiplier scatters them. */
-	return RENEW_LEFT_MS + (first * 2654435761u) % RENEW_SPREAD_MS;
+	return RENEW_BEFORE_END_MS + (first * 2654435761u) % RENEW_SPREAD_MS;
 }
 
 /* The longest run from first on whose shards one call can give. */
-static uint32_t run_to_give(const struct grants *g, const struct grant_owner *o,
-			    uint32_t first, const struct wish *w, bool renew,
-			    int64_t now_ms)
+static uint32_t last_shard_to_grant(const struct grants *g,
+				    const struct grant_owner *o, uint32_t first,
+				    const struct shard_action *action,
+				    bool renew, int64_t now_ms)
 {
 	const struct grant *a = &g->shards[first];
 	uint32_t i;
 
 	for (i = first + 1; i < g->n_shards; i++) {
 		const struct grant *b = &g->shards[i];
-		struct wish v = wish_of(g, o, i, now_ms);
+		struct shard_action next = find_shard_action(g, o, i, now_ms);
 
-		if (!v.give || v.fence != w->fence || a->alone || b->alone ||
+		if (!next.grant || next.fence != action->fence ||
+		    a->single_shard_calls || b->single_shard_calls ||
 		    (b->state == GRANT_HELD) != renew)
 			break;
 		if (!renew && !same_handover(a, b))
@@ -219,9 +227,9 @@
 	return i - 1;
 }
 
-static uint32_t run_to_take_back(const struct grants *g,
-				 const struct grant_owner *o, uint32_t first,
-				 int64_t now_ms)
+static uint32_t last_shard_to_release(const struct grants *g,
+				      const struct grant_owner *o,
+				      uint32_t first, int64_t now_ms)
 {
 	const struct grant *a = &g->shards[first];
 	uint32_t i;
@@ -229,89 +237,94 @@
 	for (i = first + 1; i < g->n_shards; i++) {
 		const struct grant *b = &g->shards[i];
 
-		if (!wish_of(g, o, i, now_ms).take_back ||
+		if (!find_shard_action(g, o, i, now_ms).release ||
 		    b->state != a->state || b->fence != a->fence)
 			break;
 	}
 	return i - 1;
 }
 
-static void begin(struct grants *g, struct grant_call *c)
+static void begin_call(struct grants *g, struct grant_call *c)
 {
 	uint32_t i;
 
 	c->row.from = grants_first_key(g, c->first);
 	c->row.to = grants_last_key(g, c->last);
-	c->life = g->n_lives;
+	c->instance = g->n_instances;
 	for (i = c->first; i <= c->last; i++)
-		g->shards[i].asked = true;
+		g->shards[i].call_in_flight = true;
 }
 
 /* Work out a hold that ends with our lease, wherever it is sent by then. */
-static bool set_hold(const struct grants *g, struct grant_call *c,
-		     int64_t end_ms, int64_t max_ms, int64_t now_ms)
+static bool set_hold_times(const struct grants *g, struct grant_call *c,
+			   int64_t end_ms, int64_t max_ms, int64_t now_ms)
 {
-	double slow = rule_on(g, GRANT_RULE_SLOW_CLOCK) ? GRANT_SLOW_CLOCK : 1;
-	int64_t send_ms = rule_on(g, GRANT_RULE_SENT_IN_TIME) ? SEND_MS : 0;
+	double slow = rule_enabled(g, GRANT_RULE_CLOCK_DRIFT)
+			      ? GRANT_CLOCK_DRIFT_FACTOR
+			      : 1;
+	int64_t send_ms =
+		rule_enabled(g, GRANT_RULE_SEND_DEADLINE) ? SEND_TIMEOUT_MS : 0;
 
-	c->send_by_ms = now_ms + SEND_MS;
+	c->send_by_ms = now_ms + SEND_TIMEOUT_MS;
 	c->hold_ms = (end_ms - now_ms - send_ms - GRANT_MARGIN_MS) / slow;
-	c->hold_ms = MIN(c->hold_ms, MIN(max_ms, LONGEST_HOLD_MS));
-	c->until_ms = c->send_by_ms + (int64_t)(c->hold_ms * GRANT_SLOW_CLOCK) +
-		      GRANT_MARGIN_MS;
-	c->sure_until_ms = now_ms + c->hold_ms - GRANT_MARGIN_MS;
+	c->hold_ms = MIN(c->hold_ms, MIN(max_ms, MAX_HOLD_MS));
+	c->latest_end_ms = c->send_by_ms +
+			   (int64_t)(c->hold_ms * GRANT_CLOCK_DRIFT_FACTOR) +
+			   GRANT_MARGIN_MS;
+	c->earliest_end_ms = now_ms + c->hold_ms - GRANT_MARGIN_MS;
 	return c->hold_ms >= MIN_HOLD_MS;
 }
 
-static void set_give(struct grants *g, const struct grant_owner *o, uint32_t i,
-		     const struct wish *w, bool renew, int64_t now_ms,
-		     struct grant_call *c)
+static void set_grant_call(struct grants *g, const struct grant_owner *o,
+			   uint32_t i, const struct shard_action *action,
+			   bool renew, int64_t now_ms, struct grant_call *c)
 {
 	const char *handover = renew ? NULL : g->shards[i].handover_in;
 
-	c->kind = GRANT_CALL_GIVE;
+	c->kind = GRANT_CALL_GRANT;
 	c->first = i;
-	c->last = run_to_give(g, o, i, w, renew, now_ms);
-	c->row.fence = w->fence;
+	c->last = last_shard_to_grant(g, o, i, action, renew, now_ms);
+	c->row.fence = action->fence;
 	if (handover)
 		g_strlcpy(c->row.handover, handover, sizeof(c->row.handover));
-	begin(g, c);
+	begin_call(g, c);
 }
 
-static bool is_due(const struct grants *g, uint32_t first, uint32_t i,
-		   const struct grant_call *c, int64_t now_ms)
+static bool renewal_is_due(const struct grants *g, uint32_t first, uint32_t i,
+			   const struct grant_call *c, int64_t now_ms)
 {
-	int64_t left_ms = g->shards[i].sure_until_ms - now_ms;
+	int64_t left_ms = g->shards[i].holds_until_ms - now_ms;
 
-	return left_ms < renew_left_ms(first) &&
-	       c->sure_until_ms - now_ms >= left_ms + MIN_GAIN_MS;
+	return left_ms < renewal_threshold_ms(first) &&
+	       c->earliest_end_ms - now_ms >= left_ms + MIN_RENEWAL_GAIN_MS;
 }
 
 /* Keys that wait to be served, or to be served elsewhere, come first. */
-static bool next_change(struct grants *g, const struct grant_owner *o,
-			bool can_give, bool can_take_back, int64_t now_ms,
-			struct grant_call *c)
+static bool next_grant_or_release(struct grants *g, const struct grant_owner *o,
+				  bool can_grant, bool can_release,
+				  int64_t now_ms, struct grant_call *c)
 {
 	uint32_t i;
 
 	for (i = 0; i < g->n_shards; i++) {
-		struct wish w;
+		struct shard_action action;
 
-		expire(&g->shards[i], now_ms);
-		w = wish_of(g, o, i, now_ms);
-		if (w.give && can_give && g->shards[i].state != GRANT_HELD) {
-			set_give(g, o, i, &w, false, now_ms, c);
+		expire_hold(&g->shards[i], now_ms);
+		action = find_shard_action(g, o, i, now_ms);
+		if (action.grant && can_grant &&
+		    g->shards[i].state != GRANT_HELD) {
+			set_grant_call(g, o, i, &action, false, now_ms, c);
 			return true;
 		}
-		if (!w.take_back || !can_take_back)
+		if (!action.release || !can_release)
 			continue;
-		c->kind = GRANT_CALL_TAKE_BACK;
+		c->kind = GRANT_CALL_RELEASE;
 		c->first = i;
-		c->last = run_to_take_back(g, o, i, now_ms);
+		c->last = last_shard_to_release(g, o, i, now_ms);
 		/* Unknown what it was given under: no fence is higher. */
 		c->row.fence = g->shards[i].fence ? g->shards[i].fence
 						  : o->newest_fence;
-		begin(g, c);
+		begin_call(g, c);
 		return true;
 	}
 	return false;
@@ -323,23 +336,23 @@
 	uint32_t i = 0;
 
 	while (i < g->n_shards) {
-		struct wish w;
+		struct shard_action action;
 		uint32_t last, k;
 
 		if (g->shards[i].state != GRANT_HELD) {
 			i++;
 			continue;
 		}
-		w = wish_of(g, o, i, now_ms);
-		if (!w.give) {
+		action = find_shard_action(g, o, i, now_ms);
+		if (!action.grant) {
 			i++;
 			continue;
 		}
-		last = run_to_give(g, o, i, &w, true, now_ms);
+		last = last_shard_to_grant(g, o, i, &action, true, now_ms);
 		for (k = i; k <= last; k++) {
-			if (!is_due(g, i, k, c, now_ms))
+			if (!renewal_is_due(g, i, k, c, now_ms))
 				continue;
-			set_give(g, o, i, &w, true, now_ms, c);
+			set_grant_call(g, o, i, &action, true, now_ms, c);
 			return true;
 		}
 		i = last + 1;
@@ -351,78 +364,81 @@
 		     uint32_t kinds, int64_t hold_max_ms, int64_t now_ms,
 		     struct grant_call *c)
 {
-	bool can_give = kinds & (1 << GRANT_CALL_GIVE);
+	bool can_grant = kinds & (1 << GRANT_CALL_GRANT);
 
 	memset(c, 0, sizeof(*c));
-	if (!g->heard)
+	if (!g->heartbeat_seen)
 		return false;
-	can_give = set_hold(g, c, o->lease_end_ms, hold_max_ms, now_ms) &&
-		   can_give;
-	if (next_change(g, o, can_give, kinds & (1 << GRANT_CALL_TAKE_BACK),
-			now_ms, c))
+	can_grant =
+		set_hold_times(g, c, o->lease_end_ms, hold_max_ms, now_ms) &&
+		can_grant;
+	if (next_grant_or_release(g, o, can_grant,
+				  kinds & (1 << GRANT_CALL_RELEASE), now_ms, c))
 		return true;
-	return can_give && next_renewal(g, o, now_ms, c);
+	return can_grant && next_renewal(g, o, now_ms, c);
 }
 
 /* The server refuses what it was sent before under a lower fence. */
-static void end_doubt_below(struct grant *s, int64_t fence)
+static void clear_doubt_below(struct grant *s, int64_t fence)
 {
-	if (fence <= s->doubt_fence)
+	if (fence <= s->in_doubt_fence)
 		return;
-	s->doubt_until_ms = 0;
-	s->doubt_fence = 0;
+	s->in_doubt_until_ms = 0;
+	s->in_doubt_fence = 0;
 }
 
-static void add_doubt(struct grant *s, const struct grant_call *c)
+static void mark_in_doubt(struct grant *s, const struct grant_call *c)
 {
-	s->doubt_until_ms = MAX(s->doubt_until_ms, c->until_ms);
-	s->doubt_fence = MAX(s->doubt_fence, c->row.fence);
+	s->in_doubt_until_ms = MAX(s->in_doubt_until_ms, c->latest_end_ms);
+	s->in_doubt_fence = MAX(s->in_doubt_fence, c->row.fence);
 }
 
-static void given(struct grant *s, const struct grant_call *c,
-		  enum grant_outcome outcome, bool doubt_lasts, int64_t now_ms)
+static void on_grant_outcome(struct grant *s, const struct grant_call *c,
+			     enum grant_outcome outcome, bool in_doubt_counts,
+			     int64_t now_ms)
 {
 	switch (outcome) {
-	case GRANT_DONE:
+	case GRANT_APPLIED:
 		s->state = GRANT_HELD;
 		s->fence = c->row.fence;
-		s->until_ms = MAX(s->until_ms, c->until_ms);
-		s->sure_until_ms = c->sure_until_ms;
-		s->retry_ms = 0;
-		s->alone = false;
-		end_doubt_below(s, c->row.fence);
+		s->may_hold_until_ms =
+			MAX(s->may_hold_until_ms, c->latest_end_ms);
+		s->holds_until_ms = c->earliest_end_ms;
+		s->retry_at_ms = 0;
+		s->single_shard_calls = false;
+		clear_doubt_below(s, c->row.fence);
 		g_clear_pointer(&s->handover_in, g_free);
 		g_clear_pointer(&s->handover_out, g_free);
 		break;
 	case GRANT_FENCED:
 		/* One of the run's keys is meant; which, is not said. */
 		if (c->first == c->last)
-			s->fenced = c->row.fence;
-		s->alone = true;
-		s->retry_ms = now_ms + FENCED_RETRY_MS;
+			s->rejected_fence = c->row.fence;
+		s->single_shard_calls = true;
+		s->retry_at_ms = now_ms + FENCED_RETRY_MS;
 		break;
 	case GRANT_NOT_APPLIED:
-		s->retry_ms = now_ms + RETRY_MS;
+		s->retry_at_ms = now_ms + RETRY_MS;
 		break;
 	case GRANT_IN_DOUBT:
-		if (doubt_lasts)
-			add_doubt(s, c);
-		s->retry_ms = 0;
+		if (in_doubt_counts)
+			mark_in_doubt(s, c);
+		s->retry_at_ms = 0;
 		break;
 	}
 }
 
-static void taken_back(struct grant *s, enum grant_outcome outcome,
-		       const char *handover, int64_t now_ms)
+static void on_release_outcome(struct grant *s, enum grant_outcome outcome,
+			       const char *handover, int64_t now_ms)
 {
-	if (outcome != GRANT_DONE) {
-		s->retry_ms = now_ms + RETRY_MS;
+	if (outcome != GRANT_APPLIED) {
+		s->retry_at_ms = now_ms + RETRY_MS;
 		return;
 	}
 	s->state = GRANT_FREE;
 	s->fence = 0;
-	s->until_ms = 0;
-	s->sure_until_ms = 0;
+	s->may_hold_until_ms = 0;
+	s->holds_until_ms = 0;
 	g_free(s->handover_out);
 	s->handover_out = handover && *handover ? g_strdup(handover) : NULL;
 }
@@ -431,24 +447,25 @@
 		     enum grant_outcome outcome, const char *handover,
 		     int64_t now_ms)
 {
-	bool doubt_lasts = rule_on(g, GRANT_RULE_DOUBT_LASTS);
+	bool in_doubt_counts = rule_enabled(g, GRANT_RULE_IN_DOUBT);
 	uint32_t i;
 
 	/* Which life answered is not said: it may have been the one before. */
-	if (c->life != g->n_lives && outcome == GRANT_DONE)
+	if (c->instance != g->n_instances && outcome == GRANT_APPLIED)
 		outcome = GRANT_IN_DOUBT;
 	for (i = c->first; i <= c->last && i < g->n_shards; i++) {
 		struct grant *s = &g->shards[i];
 
-		s->asked = false;
-		if (c->kind == GRANT_CALL_GIVE)
-			given(s, c, outcome, doubt_lasts, now_ms);
+		s->call_in_flight = false;
+		if (c->kind == GRANT_CALL_GRANT)
+			on_grant_outcome(s, c, outcome, in_doubt_counts,
+					 now_ms);
 		else
-			taken_back(s, outcome, handover, now_ms);
+			on_release_outcome(s, outcome, handover, now_ms);
 	}
 }
 
-uint32_t grant_call_runs(const struct grants *g)
+uint32_t grant_call_count_ranges(const struct grants *g)
 {
 	uint32_t n = 0;
 	uint32_t i;
--- a/gate/grant-call.h
+++ b/gate/grant-call.h
@@ -27,13 +27,13 @@
  */
 
 enum grant_call_kind {
-	GRANT_CALL_GIVE,
-	GRANT_CALL_TAKE_BACK,
+	GRANT_CALL_GRANT,
+	GRANT_CALL_RELEASE,
 };
 
 /* What came of a call. */
 enum grant_outcome {
-	GRANT_DONE, /* the server said so */
+	GRANT_APPLIED, /* the server said so */
 	GRANT_FENCED, /* it has seen a higher fence on one of the keys */
 	GRANT_NOT_APPLIED, /* it never was, and never will be */
 	GRANT_IN_DOUBT, /* no answer, or none that says */
@@ -50,13 +50,13 @@
 	 * was worked out from the end of our lease, and would outlast it.
 	 */
 	int64_t send_by_ms;
-	int64_t until_ms; /* sent by then, what it gives has ended */
-	int64_t sure_until_ms; /* and carried out, has not ended before */
-	uint32_t life; /* of the server that was meant */
+	int64_t latest_end_ms; /* sent by then, what it gives has ended */
+	int64_t earliest_end_ms; /* and carried out, has not ended before */
+	uint32_t instance; /* of the server that was meant */
 };
 
 /* A heartbeat of the server was heard: it is there, and calls may go. */
-void grant_call_heard(struct grants *g);
+void grant_call_heartbeat_received(struct grants *g);
 
 /*
  * What to call next, of kinds (a bit for each enum grant_call_kind); false when
@@ -73,19 +73,19 @@
 		     int64_t now_ms);
 
 /* How many calls it takes to renew all that the server holds. */
-uint32_t grant_call_runs(const struct grants *g);
+uint32_t grant_call_count_ranges(const struct grants *g);
 
 /*
  * The safety rules, one bit each. The randomised test builds this file with
  * RULE_SWITCHES and turns each off to see that it catches the breach.
  */
 enum grant_rule {
-	GRANT_RULE_DOUBT_LASTS = 1 << 0,
-	GRANT_RULE_SENT_IN_TIME = 1 << 1,
-	GRANT_RULE_PAST_COUNTS = 1 << 2,
-	GRANT_RULE_ASKED_COUNTS = 1 << 3,
-	GRANT_RULE_SLOW_CLOCK = 1 << 4,
-	GRANT_RULE_PAST_DOUBT_LASTS = 1 << 5,
+	GRANT_RULE_IN_DOUBT = 1 << 0,
+	GRANT_RULE_SEND_DEADLINE = 1 << 1,
+	GRANT_RULE_PREV_PROCESS = 1 << 2,
+	GRANT_RULE_IN_FLIGHT = 1 << 3,
+	GRANT_RULE_CLOCK_DRIFT = 1 << 4,
+	GRANT_RULE_PREV_PROCESS_IN_DOUBT = 1 << 5,
 };
 
 #endif
--- a/gate/grant-owner.c
+++ b/gate/grant-owner.c
@@ -21,5 +21,5 @@
 	o->user = m;
 	o->lease_end_ms = member_lease_end_ms(m);
 	o->newest_fence = 2 * m->fleet.applied + 1;
-	o->current = member_is_level(m);
+	o->is_caught_up = member_is_level(m);
 }
--- a/gate/grant-owner.h
+++ b/gate/grant-owner.h
@@ -20,7 +20,7 @@
 	const void *user;
 	int64_t lease_end_ms;
 	int64_t newest_fence; /* above all that we know of */
-	bool current; /* the state has been level with the log once */
+	bool is_caught_up; /* the state has been level with the log once */
 };
 
 /* Fill o from a member, for this moment. */
--- a/gate/grants.c
+++ b/gate/grants.c
@@ -20,19 +20,20 @@
 }
 
 void grants_init(struct grants *g, const struct grant_ops *ops,
-		 int64_t past_until_ms)
+		 int64_t prev_process_until_ms)
 {
 	memset(g, 0, sizeof(*g));
 	g->ops = ops;
-	g->past_until_ms = past_until_ms;
+	g->prev_process_until_ms = prev_process_until_ms;
 }
 
-int64_t grants_past_ms(const struct grant_ops *ops, int64_t lease_ms)
+int64_t grants_prev_process_hold_ms(const struct grant_ops *ops,
+				    int64_t lease_ms)
 {
-	return ops ? ops->past_ms(lease_ms) : 0;
+	return ops ? ops->prev_process_hold_ms(lease_ms) : 0;
 }
 
-void grants_clear(struct grant *s)
+void grant_clear(struct grant *s)
 {
 	g_free(s->handover_in);
 	g_free(s->handover_out);
@@ -44,7 +45,7 @@
 	uint32_t i;
 
 	for (i = 0; i < g->n_shards; i++)
-		grants_clear(&g->shards[i]);
+		grant_clear(&g->shards[i]);
 	g_free(g->shards);
 	memset(g, 0, sizeof(*g));
 }
@@ -57,8 +58,8 @@
 		return;
 	grants_finish(g);
 	g->ops = was.ops;
-	g->past_until_ms = was.past_until_ms;
-	g->n_lives = was.n_lives;
+	g->prev_process_until_ms = was.prev_process_until_ms;
+	g->n_instances = was.n_instances;
 	g->disabled_rules = was.disabled_rules;
 	g->shards = g_new0(struct grant, n_shards);
 	g->n_shards = n_shards;
@@ -77,16 +78,16 @@
 	return grants_first_key(g, shard + 1) - 1;
 }
 
-void grants_forget_server(struct grants *g)
+void grants_new_instance(struct grants *g)
 {
 	if (g->ops)
-		g->ops->on_life(g);
+		g->ops->on_new_instance(g);
 }
 
-void grants_server_ended(struct grants *g)
+void grants_server_stopped(struct grants *g)
 {
 	if (g->ops)
-		g->ops->on_ended(g);
+		g->ops->on_server_stopped(g);
 }
 
 void grants_misdirected(struct grants *g, uint32_t shard, int64_t now_ms)
@@ -100,21 +101,22 @@
 	return shard < g->n_shards && g->ops->may_hold(g, shard, now_ms);
 }
 
-bool grants_granted(const struct grants *g, uint32_t shard, int64_t fence,
-		    int64_t now_ms)
+bool grants_server_holds(const struct grants *g, uint32_t shard, int64_t fence,
+			 int64_t now_ms)
 {
-	return shard < g->n_shards && g->ops->granted(g, shard, fence, now_ms);
+	return shard < g->n_shards &&
+	       g->ops->server_holds(g, shard, fence, now_ms);
 }
 
-bool grants_lacks_room(const struct grants *g, uint32_t shard)
+bool grants_waiting_for_room(const struct grants *g, uint32_t shard)
 {
-	return shard < g->n_shards && g->shards[shard].waits_ms;
+	return shard < g->n_shards && g->shards[shard].waiting_since_ms;
 }
 
 int64_t grants_hold_ms(int64_t end_ms, int64_t max_ms, int64_t now_ms)
 {
 	int64_t left = (int64_t)((end_ms - now_ms - GRANT_MARGIN_MS) /
-				 GRANT_SLOW_CLOCK);
+				 GRANT_CLOCK_DRIFT_FACTOR);
 
 	return MIN(left, max_ms);
 }
@@ -124,7 +126,7 @@
 	const char *token = shard < g->n_shards ? g->shards[shard].handover_out
 						: NULL;
 	char *end;
-	int64_t v[GRANTS_NUMBERS] = { shard, 0, HANDOVER_MARK, 0 };
+	int64_t v[GRANTS_ENTRY_LEN] = { shard, 0, HANDOVER_MARK, 0 };
 
 	if (!token)
 		return;
@@ -134,7 +136,7 @@
 	if (*end || !v[1] || v[3] > HANDOVER_DIGITS)
 		g_warning("handover of shard %u is no number", shard);
 	else
-		g_array_append_vals(out, v, GRANTS_NUMBERS);
+		g_array_append_vals(out, v, GRANTS_ENTRY_LEN);
 }
 
 bool grants_import(struct grants *g, const int64_t *entry)
--- a/gate/ids.c
+++ b/gate/ids.c
@@ -3,12 +3,12 @@
 #include "gate/ids.h"
 #include "util/hash.h"
 
-#define MAX_KEPT_BYTES (4 * 1024 * 1024)
+#define MAX_ANSWERS_BYTES (4 * 1024 * 1024)
 #define MAX_ANSWER_BYTES 4096
 #define UUID_LEN 36
 #define STATE_BITS 8
 
-static void seen_free(gpointer p)
+static void seen_id_free(gpointer p)
 {
 	struct seen_id *e = p;
 
@@ -31,27 +31,27 @@
 void ids_finish(struct ids *t)
 {
 	g_hash_table_unref(t->by_hash);
-	g_queue_free_full(t->order, seen_free);
+	g_queue_free_full(t->order, seen_id_free);
 }
 
-static void drop(struct ids *t, struct seen_id *e)
+static void remove_entry(struct ids *t, struct seen_id *e)
 {
 	if (e->answer)
 		t->bytes -= g_bytes_get_size(e->answer);
 	g_hash_table_remove(t->by_hash, &e->hash);
-	seen_free(e);
+	seen_id_free(e);
 }
 
-static void expire(struct ids *t, int64_t now_ms)
+static void evict_expired(struct ids *t, int64_t now_ms)
 {
 	struct seen_id *e;
 
 	while ((e = g_queue_peek_head(t->order))) {
 		if (e->state == SEEN_RUNNING ||
-		    now_ms - e->at_ms <= e->window_ms)
+		    now_ms - e->begun_at_ms <= e->window_ms)
 			return;
 		g_queue_pop_head(t->order);
-		drop(t, e);
+		remove_entry(t, e);
 	}
 }
 
@@ -59,10 +59,10 @@
 {
 	struct seen_id *e;
 
-	expire(t, now_ms);
+	evict_expired(t, now_ms);
 	e = g_hash_table_lookup(t->by_hash, &hash);
-	if (!e ||
-	    (e->state != SEEN_RUNNING && now_ms - e->at_ms > e->window_ms))
+	if (!e || (e->state != SEEN_RUNNING &&
+		   now_ms - e->begun_at_ms > e->window_ms))
 		return NULL;
 	return e;
 }
@@ -72,7 +72,7 @@
 {
 	struct seen_id *e;
 
-	expire(t, now_ms);
+	evict_expired(t, now_ms);
 	/* Dropping the oldest instead would let a resent id run twice. */
 	if (g_hash_table_size(t->by_hash) >= t->max)
 		return NULL;
@@ -80,7 +80,7 @@
 	e = g_new0(struct seen_id, 1);
 	e->hash = hash;
 	e->shard = shard;
-	e->at_ms = now_ms;
+	e->begun_at_ms = now_ms;
 	e->window_ms = window_ms;
 	g_queue_push_tail(t->order, e);
 	g_hash_table_insert(t->by_hash, &e->hash, e);
@@ -97,7 +97,8 @@
 		return;
 	e->state = state;
 	e->status = status;
-	if (!body || len > MAX_ANSWER_BYTES || t->bytes + len > MAX_KEPT_BYTES)
+	if (!body || len > MAX_ANSWER_BYTES ||
+	    t->bytes + len > MAX_ANSWERS_BYTES)
 		return;
 	e->answer = g_bytes_new(body, len);
 	e->content_type = g_strdup(content_type);
@@ -111,7 +112,7 @@
 	if (!e)
 		return;
 	g_queue_remove(t->order, e);
-	drop(t, e);
+	remove_entry(t, e);
 }
 
 void ids_export(const struct ids *t, uint32_t shard, int64_t now_ms,
@@ -124,7 +125,7 @@
 		enum seen_state state = e->state == SEEN_RUNNING ? SEEN_UNKNOWN
 								 : e->state;
 		int64_t v[] = { e->shard, (int64_t)e->hash,
-				e->window_ms - (now_ms - e->at_ms),
+				e->window_ms - (now_ms - e->begun_at_ms),
 				state | (int64_t)e->status << STATE_BITS };
 
 		if (e->shard == shard && v[2] > 0)
@@ -156,7 +157,7 @@
 	return h ? h : 1;
 }
 
-int64_t ids_made_ms(const char *id)
+int64_t ids_created_ms(const char *id)
 {
 	int64_t ms = 0;
 	uint32_t i;
--- a/gate/ids.h
+++ b/gate/ids.h
@@ -21,7 +21,7 @@
 	uint64_t hash;
 	uint32_t shard;
 	enum seen_state state;
-	int64_t at_ms;
+	int64_t begun_at_ms;
 	int64_t window_ms;
 	uint32_t status;
 	GBytes *answer; /* NULL when it was too large to keep */
@@ -64,6 +64,6 @@
  * When an id was made, in milliseconds of Unix time, or -1 when it does not
  * say. A version 7 UUID (RFC 9562) does.
  */
-int64_t ids_made_ms(const char *id);
+int64_t ids_created_ms(const char *id);
 
 #endif
--- a/gate/life.c
+++ b/gate/life.c
@@ -8,31 +8,34 @@
  * then looks older than the life before. Once that one has been silent for
  * longer than any heartbeat is late, it is believed all the same.
  */
-#define SILENT_MS 5000
+#define SILENCE_TIMEOUT_MS 5000
 
-static enum life_news take(struct life *l, const char *id, int64_t born_ms,
-			   int64_t number, int64_t now_ms)
+static enum instance_check set_instance(struct server_instance *s,
+					const char *id, int64_t started_ms,
+					int64_t number, int64_t now_ms)
 {
-	g_strlcpy(l->id, id, sizeof(l->id));
-	l->born_ms = born_ms;
-	l->number = number;
-	l->heard_ms = now_ms;
-	return LIFE_NEW;
+	g_strlcpy(s->id, id, sizeof(s->id));
+	s->started_ms = started_ms;
+	s->heartbeat_number = number;
+	s->heard_at_ms = now_ms;
+	return INSTANCE_NEW;
 }
 
-enum life_news life_on_beat(struct life *l, const char *id, int64_t born_ms,
-			    int64_t number, int64_t now_ms)
+enum instance_check instance_on_heartbeat(struct server_instance *s,
+					  const char *id, int64_t started_ms,
+					  int64_t number, int64_t now_ms)
 {
-	if (!l->id[0])
-		return take(l, id, born_ms, number, now_ms);
-	if (!strcmp(l->id, id) && l->born_ms == born_ms) {
-		if (number <= l->number)
-			return LIFE_STALE;
-		l->number = number;
-		l->heard_ms = now_ms;
-		return LIFE_SAME;
+	if (!s->id[0])
+		return set_instance(s, id, started_ms, number, now_ms);
+	if (!strcmp(s->id, id) && s->started_ms == started_ms) {
+		if (number <= s->heartbeat_number)
+			return INSTANCE_STALE;
+		s->heartbeat_number = number;
+		s->heard_at_ms = now_ms;
+		return INSTANCE_CURRENT;
 	}
-	if (born_ms < l->born_ms && now_ms - l->heard_ms < SILENT_MS)
-		return LIFE_STALE;
-	return take(l, id, born_ms, number, now_ms);
+	if (started_ms < s->started_ms &&
+	    now_ms - s->heard_at_ms < SILENCE_TIMEOUT_MS)
+		return INSTANCE_STALE;
+	return set_instance(s, id, started_ms, number, now_ms);
 }
--- a/gate/life.h
+++ b/gate/life.h
@@ -10,22 +10,23 @@
  * life before are still on their way: what these say is over.
  */
 
-#define LIFE_ID_MAX_LEN 39
+#define INSTANCE_ID_MAX_LEN 39
 
-struct life {
-	char id[LIFE_ID_MAX_LEN + 1]; /* "" none known */
-	int64_t born_ms; /* by the server host's clock of day */
-	int64_t number; /* of its last heartbeat */
-	int64_t heard_ms; /* our clock */
+struct server_instance {
+	char id[INSTANCE_ID_MAX_LEN + 1]; /* "" none known */
+	int64_t started_ms; /* by the server host's clock of day */
+	int64_t heartbeat_number; /* of its last heartbeat */
+	int64_t heard_at_ms; /* our clock */
 };
 
-enum life_news {
-	LIFE_NEW, /* a life not seen before by this process */
-	LIFE_SAME, /* the one known, with news */
-	LIFE_STALE, /* an older life, or an older word of this one */
+enum instance_check {
+	INSTANCE_NEW, /* a life not seen before by this process */
+	INSTANCE_CURRENT, /* the one known, with news */
+	INSTANCE_STALE, /* an older life, or an older word of this one */
 };
 
-enum life_news life_on_beat(struct life *l, const char *id, int64_t born_ms,
-			    int64_t number, int64_t now_ms);
+enum instance_check instance_on_heartbeat(struct server_instance *s,
+					  const char *id, int64_t started_ms,
+					  int64_t number, int64_t now_ms);
 
 #endif
--- a/gate/limit.c
+++ b/gate/limit.c
@@ -4,85 +4,88 @@
 #include "gate/limit.h"
 #include "util/counters.h"
 
-#define STEP_MS 50 /* growth back to what was borne before */
-#define RAMP_MS 6000 /* from cold to all slots */
-#define CUT_FACTOR 0.5
+#define GROWTH_INTERVAL_MS 50 /* growth back to what was borne before */
+#define SLOW_START_MS 6000 /* from cold to all slots */
+#define OVERLOAD_CUT 0.5
 #define RECENT_WEIGHT 0.2
 #define BASE_DOWN_WEIGHT 0.1
 #define BASE_UP_WEIGHT 0.002
 #define SLOW_FACTOR 2.5
 #define SLOW_SLACK_MS 2.0
-#define BAD_FACTOR 6.0
-#define BAD_SLACK_MS 10.0
+#define OVERLOAD_FACTOR 6.0
+#define OVERLOAD_SLACK_MS 10.0
 #define STALL_FACTOR 3.0
 #define STALL_SLACK_MS 4.0
-#define COLD_EPISODES 2
+#define SLOW_START_EPISODES 2
 #define MIN_SAMPLES 8
 
-static void start_cold(struct limit *l, int64_t now_ms)
+static void begin_slow_start(struct limit *l, int64_t now_ms)
 {
-	l->now = MIN(LIMIT_COLD, l->max);
-	l->cold = true;
-	l->was_full = false;
-	l->next_step_ms = now_ms + RAMP_MS / l->max;
+	l->allowed = MIN(LIMIT_INITIAL, l->slots);
+	l->slow_start = true;
+	l->was_reached = false;
+	l->next_step_ms = now_ms + SLOW_START_MS / l->slots;
 }
 
-static void start_full(struct limit *l, int64_t now_ms)
+static void allow_all_slots(struct limit *l, int64_t now_ms)
 {
 	(void)now_ms;
-	l->now = l->max;
+	l->allowed = l->slots;
 }
 
 /* Begin for a server with max slots. */
-void limit_init(struct limit *l, const struct limit_ops *ops, uint32_t max,
+void limit_init(struct limit *l, const struct limit_ops *ops, uint32_t slots,
 		int64_t now_ms)
 {
 	memset(l, 0, sizeof(*l));
 	l->ops = ops;
-	l->max = max ? max : 1;
+	l->slots = slots ? slots : 1;
 	ops->init(l, now_ms);
 }
 
 /* Whether one more request may be started. */
 bool limit_allows(struct limit *l, uint32_t in_flight)
 {
-	uint32_t allowed = (uint32_t)l->now;
+	uint32_t allowed = (uint32_t)l->allowed;
 
-	if (l->stalled || l->proving)
-		allowed = MIN(allowed, LIMIT_COLD);
+	if (l->stalled || l->awaits_good_answer)
+		allowed = MIN(allowed, LIMIT_INITIAL);
 	if (in_flight + 1 >= allowed)
-		l->was_full = true;
+		l->was_reached = true;
 	return in_flight < allowed;
 }
 
-static void adapt_bad(struct limit *l, int64_t started_ms, int64_t now_ms)
+static void adaptive_on_overload(struct limit *l, int64_t started_ms,
+				 int64_t now_ms)
 {
 	/*
 	 * All that was in flight when a server stalled comes back late
 	 * together. That is one piece of evidence, and a moment's stall by an
 	 * unseen neighbour must not cost the whole ramp.
 	 */
-	if (started_ms < l->bad_since_ms)
+	if (started_ms < l->overload_since_ms)
 		return;
-	l->bad_since_ms = now_ms;
-	l->was_full = false;
+	l->overload_since_ms = now_ms;
+	l->was_reached = false;
 	/*
 	 * Slow again right after a cut, and with no good answer between: the
 	 * server has turned cold without saying so, and begins anew.
 	 */
-	if (++l->bad_episodes >= COLD_EPISODES && l->now > LIMIT_COLD) {
-		l->bad_episodes = 0;
+	if (++l->overload_episodes >= SLOW_START_EPISODES &&
+	    l->allowed > LIMIT_INITIAL) {
+		l->overload_episodes = 0;
 		l->n_recent = 0;
 		l->n_cold_starts++;
 		COUNT(gate_cold_starts);
-		start_cold(l, now_ms);
+		begin_slow_start(l, now_ms);
 		return;
 	}
-	l->now = MAX(MIN(LIMIT_COLD, l->max), l->now * CUT_FACTOR);
-	l->next_step_ms = now_ms + 2 * STEP_MS;
+	l->allowed =
+		MAX(MIN(LIMIT_INITIAL, l->slots), l->allowed * OVERLOAD_CUT);
+	l->next_step_ms = now_ms + 2 * GROWTH_INTERVAL_MS;
 }
 
-static void learn(struct limit *l, double ms)
+static void update_latency(struct limit *l, double ms)
 {
 	double weight = ms < l->base_ms ? BASE_DOWN_WEIGHT : BASE_UP_WEIGHT;
 
@@ -101,35 +104,37 @@
 	 * time. A server that answered well all along is warm in the end, also
 	 * when it was never asked for all it had.
 	 */
-	if (now_ms < l->next_step_ms || (!l->was_full && !l->cold))
+	if (now_ms < l->next_step_ms || (!l->was_reached && !l->slow_start))
 		return;
-	l->was_full = false;
-	l->next_step_ms = now_ms + (l->cold ? RAMP_MS / l->max : STEP_MS);
-	l->now = MIN(l->now + 1, (double)l->max);
-	if (l->now >= l->max)
-		l->cold = false;
+	l->was_reached = false;
+	l->next_step_ms = now_ms + (l->slow_start ? SLOW_START_MS / l->slots
+						  : GROWTH_INTERVAL_MS);
+	l->allowed = MIN(l->allowed + 1, (double)l->slots);
+	if (l->allowed >= l->slots)
+		l->slow_start = false;
 }
 
-static bool known(const struct limit *l)
+static bool has_baseline(const struct limit *l)
 {
 	return l->base_ms > 0 && l->n_recent >= MIN_SAMPLES;
 }
 
-static void adapt(struct limit *l, double latency_ms, int64_t started_ms,
-		  int64_t now_ms)
+static void adaptive_on_answer(struct limit *l, double latency_ms,
+			       int64_t started_ms, int64_t now_ms)
 {
-	bool was_known = known(l);
+	bool had_baseline = has_baseline(l);
 
-	learn(l, latency_ms);
-	if (was_known && latency_ms > BAD_FACTOR * l->base_ms + BAD_SLACK_MS) {
-		adapt_bad(l, started_ms, now_ms);
+	update_latency(l, latency_ms);
+	if (had_baseline &&
+	    latency_ms > OVERLOAD_FACTOR * l->base_ms + OVERLOAD_SLACK_MS) {
+		adaptive_on_overload(l, started_ms, now_ms);
 		return;
 	}
-	l->bad_episodes = 0;
-	if (started_ms >= l->proving_since_ms)
-		l->proving = false;
+	l->overload_episodes = 0;
+	if (started_ms >= l->stalled_since_ms)
+		l->awaits_good_answer = false;
 	/* Slower than usual: full enough. */
-	if (!was_known ||
+	if (!had_baseline ||
 	    l->recent_ms <= SLOW_FACTOR * l->base_ms + SLOW_SLACK_MS)
 		grow(l, now_ms);
 }
@@ -139,37 +144,42 @@
  * a stall or a server gone cold cannot be told yet; either way more work now
  * would only wait there, or push it over.
  */
-static void adapt_watch(struct limit *l, int64_t oldest_ms, int64_t now_ms)
+static void adaptive_check_stall(struct limit *l, int64_t oldest_ms,
+				 int64_t now_ms)
 {
-	bool was = l->stalled;
+	bool was_stalled = l->stalled;
 
 	l->stalled = l->base_ms > 0 &&
 		     oldest_ms > STALL_FACTOR * l->base_ms + STALL_SLACK_MS;
-	if (!l->stalled || was)
+	if (!l->stalled || was_stalled)
 		return;
-	l->proving = true;
-	l->proving_since_ms = now_ms;
+	l->awaits_good_answer = true;
+	l->stalled_since_ms = now_ms;
 }
 
-static void only_learn(struct limit *l, double latency_ms, int64_t started_ms,
-		       int64_t now_ms)
+static void fixed_on_answer(struct limit *l, double latency_ms,
+			    int64_t started_ms, int64_t now_ms)
 {
 	(void)started_ms;
 	(void)now_ms;
-	learn(l, latency_ms);
+	update_latency(l, latency_ms);
 }
 
-static void ignore_bad(struct limit *l, int64_t started_ms, int64_t now_ms)
+static void fixed_on_overload(struct limit *l, int64_t started_ms,
+			      int64_t now_ms)
 {
 	(void)l;
 	(void)started_ms;
 	(void)now_ms;
 }
 
-const struct limit_ops limit_adaptive = { "adaptive", start_cold, adapt,
-					  adapt_bad, adapt_watch };
-const struct limit_ops limit_fixed = { "fixed", start_full, only_learn,
-				       ignore_bad, NULL };
+const struct limit_ops limit_adaptive = { "adaptive", begin_slow_start,
+					  adaptive_on_answer,
+					  adaptive_on_overload,
+					  adaptive_check_stall };
+const struct limit_ops limit_fixed = { "fixed", allow_all_slots,
+				       fixed_on_answer, fixed_on_overload,
+				       NULL };
 
 const struct limit_ops *limit_ops_by_name(const char *name)
 {
@@ -182,13 +192,13 @@
 		int64_t started_ms, int64_t now_ms)
 {
 	if (outcome == LIMIT_ANSWERED)
-		l->ops->answered(l, latency_ms, started_ms, now_ms);
+		l->ops->on_answer(l, latency_ms, started_ms, now_ms);
 	else
-		l->ops->bad(l, started_ms, now_ms);
+		l->ops->on_overload(l, started_ms, now_ms);
 }
 
-void limit_watch(struct limit *l, int64_t oldest_ms, int64_t now_ms)
+void limit_check_stall(struct limit *l, int64_t oldest_ms, int64_t now_ms)
 {
-	if (l->ops->watch)
-		l->ops->watch(l, oldest_ms, now_ms);
+	if (l->ops->check_stall)
+		l->ops->check_stall(l, oldest_ms, now_ms);
 }
--- a/gate/limit.h
+++ b/gate/limit.h
@@ -11,22 +11,22 @@
  * passed in.
  */
 
-#define LIMIT_COLD 2
+#define LIMIT_INITIAL 2
 
 struct limit {
 	const struct limit_ops *ops;
-	uint32_t max; /* slots the backend server announced */
-	double now; /* requests allowed in flight */
+	uint32_t slots; /* slots the backend server announced */
+	double allowed; /* requests allowed in flight */
 	double base_ms; /* usual latency when not overloaded, 0 unknown */
 	double recent_ms; /* latency of the last few answers */
 	uint32_t n_recent; /* answers since the last reset */
-	uint32_t bad_episodes; /* in a row, without a good answer between */
-	bool cold; /* ramping up after a cold start */
+	uint32_t overload_episodes; /* in a row, without a good answer between */
+	bool slow_start; /* ramping up after a cold start */
 	bool stalled; /* nothing comes back: start no more than a few */
-	bool proving; /* nor after a stall, until one answer was good */
-	int64_t proving_since_ms;
-	bool was_full; /* the limit was reached since the last step */
-	int64_t bad_since_ms; /* begin of the last bad episode */
+	bool awaits_good_answer; /* the same after a stall */
+	int64_t stalled_since_ms;
+	bool was_reached; /* the limit was reached since the last step */
+	int64_t overload_since_ms; /* begin of the last bad episode */
 	int64_t next_step_ms; /* no growth before */
 	uint64_t n_cold_starts;
 };
@@ -38,11 +38,12 @@
 struct limit_ops {
 	const char *name;
 	void (*init)(struct limit *l, int64_t now_ms);
-	void (*answered)(struct limit *l, double latency_ms, int64_t started_ms,
-			 int64_t now_ms);
-	void (*bad)(struct limit *l, int64_t started_ms, int64_t now_ms);
+	void (*on_answer)(struct limit *l, double latency_ms,
+			  int64_t started_ms, int64_t now_ms);
+	void (*on_overload)(struct limit *l, int64_t started_ms,
+			    int64_t now_ms);
 	/* NULL: how long the oldest waits is of no interest. */
-	void (*watch)(struct limit *l, int64_t oldest_ms, int64_t now_ms);
+	void (*check_stall)(struct limit *l, int64_t oldest_ms, int64_t now_ms);
 };
 
 extern const struct limit_ops limit_adaptive;
@@ -57,7 +58,7 @@
 	LIMIT_FAILED, /* connection broken or timed out */
 };
 
-void limit_init(struct limit *l, const struct limit_ops *ops, uint32_t max,
+void limit_init(struct limit *l, const struct limit_ops *ops, uint32_t slots,
 		int64_t now_ms);
 bool limit_allows(struct limit *l, uint32_t in_flight);
 
@@ -69,6 +70,6 @@
 		int64_t started_ms, int64_t now_ms);
 
 /* Take in how long the oldest request in flight has waited; 0 none. */
-void limit_watch(struct limit *l, int64_t oldest_ms, int64_t now_ms);
+void limit_check_stall(struct limit *l, int64_t oldest_ms, int64_t now_ms);
 
 #endif
--- a/gate/link.h
+++ b/gate/link.h
@@ -14,8 +14,8 @@
 struct link {
 	double bytes_per_ms; /* 0 unknown: without bound */
 	double backlog_bytes; /* at at_ms */
-	double promised_bytes;
-	int64_t at_ms;
+	double reserved_bytes;
+	int64_t updated_at_ms;
 };
 
 /* Start with nothing to send; mbps 0 without bound. */
@@ -25,8 +25,8 @@
 void link_sent(struct link *l, double bytes, int64_t now_ms);
 
 /* An answer of about so many bytes will be; or will not be after all. */
-void link_promise(struct link *l, double bytes);
-void link_withdraw(struct link *l, double bytes);
+void link_reserve(struct link *l, double bytes);
+void link_unreserve(struct link *l, double bytes);
 
 /* How long the link takes for all that it was handed and promised, and bytes. */
 double link_wait_ms(const struct link *l, double bytes, int64_t now_ms);
--- a/gate/queue.c
+++ b/gate/queue.c
@@ -3,12 +3,12 @@
 
 #include "gate/queue.h"
 
-#define FADE 0.998
-#define SERVICE_WEIGHT 0.1
+#define COUNT_DECAY 0.998
+#define SMOOTHING_WEIGHT 0.1
 /* Of a class's usual time: enough for many of its requests. */
-#define LEAST_SHARE 0.5
+#define MIN_WORK_SHARE 0.5
 /* Of the time left to the last of a length; those that wait longer crowd it. */
-#define CROWDED_SHARE 0.25
+#define CONGESTED_SHARE 0.25
 
 /* Set up an empty queue of at most max requests. */
 void queue_init(struct queue *q, uint32_t max)
@@ -27,25 +27,26 @@
 
 void queue_set_classes(struct queue *q, uint32_t n)
 {
-	uint32_t before = q->n_classes;
+	uint32_t n_before = q->n_classes;
 	uint32_t i;
 
 	q->classes = g_renew(struct class_load, q->classes, n);
 	q->n_classes = n;
-	if (n > before)
-		memset(q->classes + before, 0,
-		       (n - before) * sizeof(q->classes[0]));
+	if (n > n_before)
+		memset(q->classes + n_before, 0,
+		       (n - n_before) * sizeof(q->classes[0]));
 	for (i = 0; i < n; i++)
-		q->classes[i].refused_share = 0;
-	q->has_shares = false;
+		q->classes[i].refusal_target = 0;
+	q->has_refusal_targets = false;
 }
 
-void queue_set_share(struct queue *q, uint32_t class_index, double share)
+void queue_set_refusal_target(struct queue *q, uint32_t class_index,
+			      double share)
 {
 	if (class_index >= q->n_classes)
 		return;
-	q->classes[class_index].refused_share = share;
-	q->has_shares = q->has_shares || share > 0;
+	q->classes[class_index].refusal_target = share;
+	q->has_refusal_targets = q->has_refusal_targets || share > 0;
 }
 
 void queue_count(struct queue *q, uint32_t class_index, bool refused)
@@ -55,11 +56,11 @@
 	if (class_index >= q->n_classes)
 		return;
 	c = &q->classes[class_index];
-	c->seen = c->seen * FADE + 1;
-	c->refused = c->refused * FADE + refused;
+	c->decayed_total = c->decayed_total * COUNT_DECAY + 1;
+	c->decayed_refused = c->decayed_refused * COUNT_DECAY + refused;
 }
 
-static struct queued *at(const struct queue *q, uint32_t i)
+static struct queued *entry_at(const struct queue *q, uint32_t i)
 {
 	return g_ptr_array_index(q->heap, i);
 }
@@ -69,10 +70,10 @@
  * request at another server waits for, which is short, is not refused for the
  * time of long ones. Those of one length by when they are due.
  */
-static bool before(const struct queued *a, const struct queued *b)
+static bool is_before(const struct queued *a, const struct queued *b)
 {
-	if (a->length != b->length)
-		return a->length < b->length;
+	if (a->work_log2 != b->work_log2)
+		return a->work_log2 < b->work_log2;
 	return a->due_ms < b->due_ms;
 }
 
@@ -86,7 +87,7 @@
 
 static void sift_up(struct queue *q, uint32_t i)
 {
-	while (i && before(at(q, i), at(q, (i - 1) / 2))) {
+	while (i && is_before(entry_at(q, i), entry_at(q, (i - 1) / 2))) {
 		swap(q, i, (i - 1) / 2);
 		i = (i - 1) / 2;
 	}
@@ -98,9 +99,11 @@
 		uint32_t l = 2 * i + 1;
 		uint32_t best = i;
 
-		if (l < q->heap->len && before(at(q, l), at(q, best)))
+		if (l < q->heap->len &&
+		    is_before(entry_at(q, l), entry_at(q, best)))
 			best = l;
-		if (l + 1 < q->heap->len && before(at(q, l + 1), at(q, best)))
+		if (l + 1 < q->heap->len &&
+		    is_before(entry_at(q, l + 1), entry_at(q, best)))
 			best = l + 1;
 		if (best == i)
 			return;
@@ -109,7 +112,7 @@
 	}
 }
 
-static struct queued *take(struct queue *q, uint32_t i)
+static struct queued *remove_at(struct queue *q, uint32_t i)
 {
 	struct queued *e;
 
@@ -123,14 +126,15 @@
 }
 
 /* How far a class is from refusing more than its target allows. */
-static double headroom(const struct queue *q, uint32_t class_index)
+static double refusal_headroom(const struct queue *q, uint32_t class_index)
 {
 	const struct class_load *c;
 
 	if (class_index >= q->n_classes)
 		return 0;
 	c = &q->classes[class_index];
-	return c->refused_share - (c->refused + 1) / (c->seen + 1);
+	return c->refusal_target -
+	       (c->decayed_refused + 1) / (c->decayed_total + 1);
 }
 
 /*
@@ -145,18 +149,19 @@
 	uint32_t i;
 
 	for (i = 1; i < q->heap->len; i++) {
-		double a = headroom(q, at(q, i)->class_index);
-		double b = headroom(q, at(q, best)->class_index);
+		double a = refusal_headroom(q, entry_at(q, i)->class_index);
+		double b = refusal_headroom(q, entry_at(q, best)->class_index);
 
-		if (!q->has_shares)
+		if (!q->has_refusal_targets)
 			a = b = 0;
-		if (a > b || (a >= b && before(at(q, best), at(q, i))))
+		if (a > b ||
+		    (a >= b && is_before(entry_at(q, best), entry_at(q, i))))
 			best = i;
 	}
 	return best;
 }
 
-static double class_ms(const struct queue *q, uint32_t class_index)
+static double class_service_ms(const struct queue *q, uint32_t class_index)
 {
 	if (class_index < q->n_classes &&
 	    q->classes[class_index].service_ms > 0)
@@ -165,10 +170,10 @@
 }
 
 /* Within a factor of two is one length: what is usual moves all the time. */
-static void size(const struct queue *q, struct queued *e)
+static void set_expected_work(const struct queue *q, struct queued *e)
 {
-	e->work_ms = class_ms(q, e->class_index);
-	e->length = e->work_ms > 0 ? ilogb(e->work_ms) : INT32_MIN;
+	e->work_ms = class_service_ms(q, e->class_index);
+	e->work_log2 = e->work_ms > 0 ? ilogb(e->work_ms) : INT32_MIN;
 }
 
 /*
@@ -178,65 +183,68 @@
  * with the most time left is next; those that this overtakes are refused once
  * they cannot be in time.
  */
-static bool crowded(const struct queue *q, int32_t length, int64_t now_ms,
-		    double slots)
+static bool is_congested(const struct queue *q, int32_t work_log2,
+			 int64_t now_ms, double slots)
 {
 	double work_ms = 0;
-	int64_t due_ms = 0;
+	int64_t last_due_ms = 0;
 	uint32_t i;
 
 	for (i = 0; i < q->heap->len; i++) {
-		const struct queued *e = at(q, i);
+		const struct queued *e = entry_at(q, i);
 
-		if (e->length > length)
+		if (e->work_log2 > work_log2)
 			continue;
 		work_ms += e->work_ms;
-		if (e->length == length)
-			due_ms = MAX(due_ms, e->due_ms);
+		if (e->work_log2 == work_log2)
+			last_due_ms = MAX(last_due_ms, e->due_ms);
 	}
-	return work_ms / MAX(slots, 1.0) > (due_ms - now_ms) * CROWDED_SHARE;
+	return work_ms / MAX(slots, 1.0) >
+	       (last_due_ms - now_ms) * CONGESTED_SHARE;
 }
 
 /* Whether one that waits goes before another that does. */
-static bool goes_before(const struct queued *a, const struct queued *b,
-			bool is_crowd)
+static bool starts_before(const struct queued *a, const struct queued *b,
+			  bool congested)
 {
-	if (is_crowd && a->length == b->length)
+	if (congested && a->work_log2 == b->work_log2)
 		return a->due_ms > b->due_ms;
-	return before(a, b);
+	return is_before(a, b);
 }
 
 /*
  * How long until all that goes before a request has been begun. One that comes
  * only now counts all of its length: more will come, and go before it.
  */
-static double wait_ms(const struct queue *q, const struct queued *in,
-		      bool waits, int64_t now_ms, uint32_t running,
-		      double slots)
+static double expected_wait_ms(const struct queue *q, const struct queued *in,
+			       bool is_queued, int64_t now_ms,
+			       uint32_t n_in_flight, double slots)
 {
-	bool is_crowd = waits && crowded(q, in->length, now_ms, slots);
+	bool congested = is_queued &&
+			 is_congested(q, in->work_log2, now_ms, slots);
 	double work_ms = 0;
 	uint32_t i;
 
 	for (i = 0; i < q->heap->len; i++) {
-		const struct queued *e = at(q, i);
+		const struct queued *e = entry_at(q, i);
 
-		if (waits ? e != in && !goes_before(in, e, is_crowd)
-			  : e->length <= in->length)
+		if (is_queued ? e != in && !starts_before(in, e, congested)
+			      : e->work_log2 <= in->work_log2)
 			work_ms += e->work_ms;
 	}
-	if (!work_ms && running < slots)
+	if (!work_ms && n_in_flight < slots)
 		return 0;
 	return (work_ms + q->service_ms) / MAX(slots, 1.0);
 }
 
 /* in has its size by now; it waits in the queue, or comes only now. */
-static bool can_be_in_time(const struct queue *q, int64_t now_ms,
-			   const struct queued *in, bool waits,
-			   uint32_t running, double slots)
+static bool can_finish_in_time(const struct queue *q, int64_t now_ms,
+			       const struct queued *in, bool is_queued,
+			       uint32_t n_in_flight, double slots)
 {
-	double wait = wait_ms(q, in, waits, now_ms, running, slots);
-	double done_ms = now_ms + wait + in->work_ms * LEAST_SHARE;
+	double wait =
+		expected_wait_ms(q, in, is_queued, now_ms, n_in_flight, slots);
+	double done_ms = now_ms + wait + in->work_ms * MIN_WORK_SHARE;
 
 	if (done_ms > in->deadline_ms)
 		return false;
@@ -249,30 +257,32 @@
 	return wait <= 0 || done_ms <= in->due_ms;
 }
 
-bool queue_can_meet(const struct queue *q, int64_t now_ms,
-		    const struct queued *in, uint32_t running, double slots)
+bool queue_can_finish_in_time(const struct queue *q, int64_t now_ms,
+			      const struct queued *in, uint32_t n_in_flight,
+			      double slots)
 {
-	struct queued sized = *in;
+	struct queued candidate = *in;
 
-	size(q, &sized);
-	return can_be_in_time(q, now_ms, &sized, false, running, slots);
+	set_expected_work(q, &candidate);
+	return can_finish_in_time(q, now_ms, &candidate, false, n_in_flight,
+				  slots);
 }
 
 struct queued *queue_push(struct queue *q, const struct queued *in)
 {
 	struct queued *e = g_memdup2(in, sizeof(*in));
 
-	size(q, e);
+	set_expected_work(q, e);
 	g_ptr_array_add(q->heap, e);
 	sift_up(q, q->heap->len - 1);
 	if (q->heap->len <= q->max)
 		return NULL;
-	return take(q, pick_victim(q));
+	return remove_at(q, pick_victim(q));
 }
 
-static bool take_into(struct queue *q, uint32_t i, struct queued *out)
+static bool pop_at(struct queue *q, uint32_t i, struct queued *out)
 {
-	struct queued *e = take(q, i);
+	struct queued *e = remove_at(q, i);
 
 	*out = *e;
 	g_free(e);
@@ -281,7 +291,7 @@
 
 bool queue_pop(struct queue *q, struct queued *out)
 {
-	return q->heap->len && take_into(q, 0, out);
+	return q->heap->len && pop_at(q, 0, out);
 }
 
 bool queue_next(struct queue *q, int64_t now_ms, double slots,
@@ -292,12 +302,12 @@
 
 	if (!q->heap->len)
 		return false;
-	if (!crowded(q, at(q, 0)->length, now_ms, slots))
-		return take_into(q, 0, out);
+	if (!is_congested(q, entry_at(q, 0)->work_log2, now_ms, slots))
+		return pop_at(q, 0, out);
 	for (i = 1; i < q->heap->len; i++)
-		if (goes_before(at(q, i), at(q, best), true))
+		if (starts_before(entry_at(q, i), entry_at(q, best), true))
 			best = i;
-	return take_into(q, best, out);
+	return pop_at(q, best, out);
 }
 
 bool queue_remove(struct queue *q, const void *request)
@@ -306,8 +316,8 @@
 	uint32_t i;
 
 	for (i = 0; i < q->heap->len; i++)
-		if (at(q, i)->request == request)
-			return take_into(q, i, &dropped);
+		if (entry_at(q, i)->request == request)
+			return pop_at(q, i, &dropped);
 	return false;
 }
 
@@ -316,12 +326,12 @@
 	uint32_t i;
 
 	for (i = 0; i < q->heap->len; i++)
-		if (at(q, i)->deadline_ms <= now_ms)
-			return take_into(q, i, out);
+		if (entry_at(q, i)->deadline_ms <= now_ms)
+			return pop_at(q, i, out);
 	return false;
 }
 
-bool queue_pop_overtaken(struct queue *q, int64_t now_ms, uint32_t running,
+bool queue_pop_overtaken(struct queue *q, int64_t now_ms, uint32_t n_in_flight,
 			 double slots, struct queued *out)
 {
 	uint32_t best = q->heap->len;
@@ -329,32 +339,35 @@
 
 	/* The foremost, since those behind it may be in time without it. */
 	for (i = 0; i < q->heap->len; i++)
-		if (!can_be_in_time(q, now_ms, at(q, i), true, running,
-				    slots) &&
-		    (best == q->heap->len || before(at(q, i), at(q, best))))
+		if (!can_finish_in_time(q, now_ms, entry_at(q, i), true,
+					n_in_flight, slots) &&
+		    (best == q->heap->len ||
+		     is_before(entry_at(q, i), entry_at(q, best))))
 			best = i;
-	return best < q->heap->len && take_into(q, best, out);
+	return best < q->heap->len && pop_at(q, best, out);
 }
 
-static void smooth(double *mean, double v)
+static void update_average(double *mean, double v)
 {
-	*mean += *mean > 0 ? SERVICE_WEIGHT * (v - *mean) : v;
+	*mean += *mean > 0 ? SMOOTHING_WEIGHT * (v - *mean) : v;
 }
 
-void queue_learn(struct queue *q, uint32_t class_index, double service_ms)
+void queue_update_service_ms(struct queue *q, uint32_t class_index,
+			     double service_ms)
 {
-	smooth(&q->service_ms, service_ms);
+	update_average(&q->service_ms, service_ms);
 	if (class_index < q->n_classes)
-		smooth(&q->classes[class_index].service_ms, service_ms);
+		update_average(&q->classes[class_index].service_ms, service_ms);
 }
 
-void queue_learn_bytes(struct queue *q, uint32_t class_index, double bytes)
+void queue_update_answer_bytes(struct queue *q, uint32_t class_index,
+			       double bytes)
 {
 	if (class_index < q->n_classes)
-		smooth(&q->classes[class_index].answer_bytes, bytes);
+		update_average(&q->classes[class_index].answer_bytes, bytes);
 }
 
-double queue_usual_bytes(const struct queue *q, uint32_t class_index)
+double queue_avg_answer_bytes(const struct queue *q, uint32_t class_index)
 {
 	return class_index < q->n_classes ? q->classes[class_index].answer_bytes
 					  : 0;
--- a/gate/queue.h
+++ b/gate/queue.h
@@ -13,9 +13,9 @@
  */
 
 struct class_load {
-	double seen; /* requests, fading */
-	double refused;
-	double refused_share; /* target */
+	double decayed_total; /* requests, fading */
+	double decayed_refused;
+	double refusal_target; /* target */
 	double service_ms; /* smoothed time at the server, 0 unknown */
 	double answer_bytes; /* smoothed */
 };
@@ -26,7 +26,7 @@
 	uint32_t class_index;
 	bool remote; /* its answer goes out over the host's link */
 	double work_ms; /* usual for its class; the queue fills this in */
-	int32_t length; /* the same, by powers of two */
+	int32_t work_log2; /* the same, by powers of two */
 	void *request;
 };
 
@@ -35,7 +35,7 @@
 	uint32_t max;
 	struct class_load *classes;
 	uint32_t n_classes;
-	bool has_shares; /* some class may be refused by a share */
+	bool has_refusal_targets; /* some class may be refused by a share */
 	double service_ms; /* smoothed time one slot takes */
 };
 
@@ -47,18 +47,20 @@
  * that were there stays.
  */
 void queue_set_classes(struct queue *q, uint32_t n);
-void queue_set_share(struct queue *q, uint32_t class_index, double share);
+void queue_set_refusal_target(struct queue *q, uint32_t class_index,
+			      double share);
 
 /* Count a request of a class, and whether it was refused. */
 void queue_count(struct queue *q, uint32_t class_index, bool refused);
 
 /*
  * Whether a request that would have to wait can be expected to be done within
- * its target, and one that need not, by its deadline, when running are being
- * served now and slots can be at a time.
+ * its target, and one that need not, by its deadline, when n_in_flight are
+ * being served now and slots can be at a time.
  */
-bool queue_can_meet(const struct queue *q, int64_t now_ms,
-		    const struct queued *in, uint32_t running, double slots);
+bool queue_can_finish_in_time(const struct queue *q, int64_t now_ms,
+			      const struct queued *in, uint32_t n_in_flight,
+			      double slots);
 
 /*
  * Add a request. Returns NULL when it fitted, otherwise what must be refused
@@ -83,14 +85,16 @@
  * Take one that queue_can_meet() would refuse if it came only now, since
  * others that came later go before it; false when there is none.
  */
-bool queue_pop_overtaken(struct queue *q, int64_t now_ms, uint32_t running,
+bool queue_pop_overtaken(struct queue *q, int64_t now_ms, uint32_t n_in_flight,
 			 double slots, struct queued *out);
 
 /* Learn how long the backend server took for one request of a class. */
-void queue_learn(struct queue *q, uint32_t class_index, double service_ms);
+void queue_update_service_ms(struct queue *q, uint32_t class_index,
+			     double service_ms);
 
 /* The same for how long its answer was, and what that usually comes to. */
-void queue_learn_bytes(struct queue *q, uint32_t class_index, double bytes);
-double queue_usual_bytes(const struct queue *q, uint32_t class_index);
+void queue_update_answer_bytes(struct queue *q, uint32_t class_index,
+			       double bytes);
+double queue_avg_answer_bytes(const struct queue *q, uint32_t class_index);
 
 #endif
--- a/model/entry.c
+++ b/model/entry.c
@@ -269,7 +269,7 @@
 	chooser_answered(&e->chooser, member_of(j->gate),
 			 ms > 0 ? cost_nominal_ms(c, ms) : 0,
 			 admission_load(&j->gate->gate),
-			 j->gate->gate.limit.now, now_ms(m));
+			 j->gate->gate.limit.allowed, now_ms(m));
 }
 
 void entry_answered(struct model *m, void *subject)
--- a/model/run.c
+++ b/model/run.c
@@ -117,9 +117,9 @@
 		h->service = service;
 		h->speed = 1 + s->spread * i / MAX(s->servers - 1, 1);
 		admission_init(&h->gate, m->policy->limit, s->link_mbps, 0);
-		cold_set_rate(&h->gate.cold, COLD_ANY);
+		cold_start_set_rate(&h->gate.cold_start, COLD_START_UNLIMITED);
 		queue_set_classes(&h->gate.queue, m->e->n_classes);
-		admission_announce(&h->gate, m->policy->limit, s->slots, 0);
+		admission_reset(&h->gate, m->policy->limit, s->slots, 0);
 		chooser_init(&h->chooser, m->policy->choice,
 			     g_rand_int(m->rand));
 		for (j = 0; j < m->e->n_services; j++)
--- a/model/server.c
+++ b/model/server.c
@@ -32,7 +32,7 @@
 
 static void give_back_link(struct job *j)
 {
-	link_withdraw(&j->gate->gate.link, j->promised_bytes);
+	link_unreserve(&j->gate->gate.link, j->promised_bytes);
 	j->promised_bytes = 0;
 }
 
@@ -59,8 +59,8 @@
 	j->state = JOB_ENDED;
 	w->job = j;
 	w->not_owner = not_owner;
-	w->wait_ms = admission_wait_ms(&j->gate->gate, g_rand_double(m->rand),
-				       now_ms(m));
+	w->wait_ms = admission_retry_after_ms(
+		&j->gate->gate, g_rand_double(m->rand), now_ms(m));
 	queue_count(&j->gate->gate.queue, j->request->class_index, true);
 	model_at(m, m->now_us + link_us(j), word_arrives, w);
 }
@@ -73,7 +73,7 @@
 	double ms = k->work_ms * h->speed;
 
 	ms *= exp(k->noise * model_normal(m));
-	if (h->gate.n_running > s->slots * CROWDED_FROM)
+	if (h->gate.n_in_flight > s->slots * CROWDED_FROM)
 		ms *= 1 + s->crowding;
 	return ms * model_fault_factor(m, MODEL_SLOW, h);
 }
@@ -94,8 +94,8 @@
 	admission_done(&j->gate->gate, j->request->class_index, LIMIT_ANSWERED,
 		       ms, j->started_us / US_PER_MS, now_ms(m));
 	give_back_link(j);
-	queue_learn_bytes(&j->gate->gate.queue, j->request->class_index,
-			  class_of(j->request)->answer_bytes);
+	queue_update_answer_bytes(&j->gate->gate.queue, j->request->class_index,
+				  class_of(j->request)->answer_bytes);
 	if (j->gate != j->request->entry)
 		link_sent(&j->gate->gate.link,
 			  class_of(j->request)->answer_bytes, now_ms(m));
@@ -152,7 +152,7 @@
 {
 	struct queued q;
 
-	while (admission_overtaken(&h->gate, now_ms(m), &q))
+	while (admission_pop_overtaken(&h->gate, now_ms(m), &q))
 		refuse(m, q.request, false);
 	while (admission_next(&h->gate, now_ms(m), &q))
 		start(m, q.request);
@@ -193,7 +193,7 @@
 		return;
 	}
 	j->state = JOB_WAITING;
-	j->promised_bytes = admission_promise(&h->gate, &in);
+	j->promised_bytes = admission_reserve_link(&h->gate, &in);
 	if (victim) {
 		refuse(m, victim->request, false);
 		g_free(victim);
--- a/node/backend.c
+++ b/node/backend.c
@@ -59,10 +59,10 @@
 }
 
 static void follow_state(struct node *n, const struct announcement *a,
-			 enum life_news news)
+			 enum instance_check news)
 {
-	if (news == LIFE_NEW) {
-		grants_forget_server(&n->gate.grants);
+	if (news == INSTANCE_NEW) {
+		grants_new_instance(&n->gate.grants);
 		/* What was granted to the life before ended with it. */
 		if (n->member.self)
 			node_backend_left(n);
@@ -72,7 +72,8 @@
 	}
 	if (a->draining)
 		leaves(n, "is leaving");
-	cold_set(&n->gate.load.cold, a->cold_left_ms, clock_now_ms());
+	cold_start_set_remaining(&n->gate.load.cold_start, a->cold_left_ms,
+				 clock_now_ms());
 }
 
 /* The answer to a heartbeat; n_named of its rows had room. */
@@ -83,9 +84,9 @@
 	uint32_t n_left_out;
 	char *text;
 
-	*rows = grant_beat_rows(&n->gate.grants, o, with_handovers,
-				n->settings.hold_max_ms, clock_now_ms(),
-				hold_ms);
+	*rows = grant_heartbeat_rows(&n->gate.grants, o, with_handovers,
+				     n->settings.hold_max_ms, clock_now_ms(),
+				     hold_ms);
 	text = announce_answer(*rows, *hold_ms, MAX_ANSWER_BYTES, &n_left_out);
 	*n_named = *rows ? (*rows)->len - n_left_out : 0;
 	return text;
@@ -114,8 +115,8 @@
 		g_warning("%u of %u rows left out of an answer too long",
 			  rows->len - n_named, rows->len);
 	MEASURE(grant_ms, hold_ms);
-	grant_beat_given(&n->gate.grants, rows, n_named, number, hold_ms,
-			 clock_now_ms());
+	grant_heartbeat_answered(&n->gate.grants, rows, n_named, number,
+				 hold_ms, clock_now_ms());
 	g_array_unref(rows);
 	return text;
 }
@@ -124,7 +125,7 @@
 {
 	GString *why = g_string_new(NULL);
 	struct announcement a;
-	enum life_news news;
+	enum instance_check news;
 	g_autofree char *text = NULL;
 	int err = announce_read(&a, id, r->body->data, r->body->len, why);
 
@@ -138,9 +139,9 @@
 		reply_json(r, 400, "{}");
 		goto out;
 	}
-	news = life_on_beat(&n->life, a.id, a.born_ms, a.number,
-			    clock_now_ms());
-	if (news == LIFE_STALE) {
+	news = instance_on_heartbeat(&n->life, a.id, a.born_ms, a.number,
+				     clock_now_ms());
+	if (news == INSTANCE_STALE) {
 		reply_json(r, 200, "{}");
 		goto out;
 	}
@@ -151,8 +152,8 @@
 		granter_on_beat(&n->granter);
 		goto out;
 	}
-	grant_beat_heard(&n->gate.grants, a.number, a.holds, a.released,
-			 n->settings.hold_max_ms, clock_now_ms());
+	grant_heartbeat_received(&n->gate.grants, a.number, a.holds, a.released,
+				 n->settings.hold_max_ms, clock_now_ms());
 	text = answer(n, a.number);
 	reply_json(r, 200, text);
 out:
@@ -218,7 +219,7 @@
 
 void backend_tick(struct node *n)
 {
-	int64_t silent_ms = clock_now_ms() - n->life.heard_ms;
+	int64_t silent_ms = clock_now_ms() - n->life.heard_at_ms;
 
 	if (!n->life.id[0] || n->backend_left || !n->gate.grants.n_shards)
 		return;
--- a/node/gate-answer.c
+++ b/node/gate-answer.c
@@ -139,8 +139,8 @@
 	EVENT(grant_misdirected, r->attempt_id,
 	      "\"shard\":%" PRId64 ",\"fence\":%" PRId64
 	      ",\"state\":%d,\"sure_ms\":%" PRId64 ",\"until_ms\":%" PRId64,
-	      r->shard, s->fence, s->state, s->sure_until_ms - now,
-	      s->until_ms - now);
+	      r->shard, s->fence, s->state, s->holds_until_ms - now,
+	      s->may_hold_until_ms - now);
 	grants_misdirected(g, r->shard, now);
 }
 
@@ -175,7 +175,8 @@
 			      ",\"arrived_ms\":%" PRId64,
 			      g->node->member.self, f->status, connect_ms(r),
 			      ms, r->total, r->sent_ms, r->arrived_ms);
-		queue_learn_bytes(&g->load.queue, r->class_index, r->total);
+		queue_update_answer_bytes(&g->load.queue, r->class_index,
+					  r->total);
 		send_part(r, true);
 		gate_request_free(r);
 	} else if (!f->sent) {
--- a/node/gate-configure.c
+++ b/node/gate-configure.c
@@ -41,8 +41,8 @@
 		const struct class_settings *k = &cfg->classes[i];
 		gpointer index = g_hash_table_lookup(t, k->name);
 
-		queue_set_share(q, GPOINTER_TO_UINT(index) - 1,
-				k->refused_share);
+		queue_set_refusal_target(q, GPOINTER_TO_UINT(index) - 1,
+					 k->refused_share);
 	}
 }
 
@@ -60,7 +60,7 @@
 	ss = configuration_service(&f->configuration,
 				   g->node->settings.service);
 	if (ss)
-		cold_set_rate(&g->load.cold, ss->cold_per_s);
+		cold_start_set_rate(&g->load.cold_start, ss->cold_per_s);
 	s = fleet_service(f, g->node->settings.service);
 	if (s && s->n_shards != g->n_shards) {
 		g_free(g->shard_load);
--- a/node/gate-entries.c
+++ b/node/gate-entries.c
@@ -53,7 +53,8 @@
  */
 int64_t gate_delay_ms(struct gate *g, const struct request_msg *m)
 {
-	return delay_learn(&origin_of(g, m)->delay, m->sent_ms, clock_now_ms());
+	return delay_update(&origin_of(g, m)->delay, m->sent_ms,
+			    clock_now_ms());
 }
 
 void gate_know_origin(struct gate *g, const struct request_msg *m)
--- a/node/gate-give.c
+++ b/node/gate-give.c
@@ -51,7 +51,7 @@
 	if (!g->balance.n_shards || !n->self)
 		return;
 	balance_tick(&g->balance,
-		     admission_load(&g->load) / MAX(g->load.limit.now, 1.0),
+		     admission_load(&g->load) / MAX(g->load.limit.allowed, 1.0),
 		     now);
 	shards = g_array_new(FALSE, FALSE, sizeof(uint32_t));
 	list = others(g, now);
--- a/node/gate-health.c
+++ b/node/gate-health.c
@@ -59,13 +59,13 @@
 	int64_t now = clock_now_ms();
 
 	(void)events;
-	if (g->load.limit.ops->watch)
-		limit_watch(&g->load.limit,
-			    oldest_in_flight_ms(g, clock_now_us()), now);
+	if (g->load.limit.ops->check_stall)
+		limit_check_stall(&g->load.limit,
+				  oldest_in_flight_ms(g, clock_now_us()), now);
 	if (g->load.limit.stalled)
 		note_stall(g, now);
-	if (!admission_needs_watch(&g->load, now)) {
-		limit_watch(&g->load.limit, 0, now);
+	if (!admission_needs_timer(&g->load, now)) {
+		limit_check_stall(&g->load.limit, 0, now);
 		ev_timer_stop(loop, w);
 	}
 	gate_refill(g);
--- a/node/gate-ids.c
+++ b/node/gate-ids.c
@@ -61,7 +61,7 @@
 	 * Made after the loss, on a clock that may be off by our bound, an id
 	 * cannot have reached the owner that was lost.
 	 */
-	made_ms = ids_made_ms(id);
+	made_ms = ids_created_ms(id);
 	if (made_ms < 0)
 		return true;
 	return made_ms <
--- a/node/gate.c
+++ b/node/gate.c
@@ -65,7 +65,7 @@
 	struct gate *g = r->gate;
 
 	g_hash_table_remove(g->requests, r);
-	link_withdraw(&g->load.link, r->promised_bytes);
+	link_unreserve(&g->load.link, r->promised_bytes);
 	if (r->shard >= 0 && r->shard < g->n_shards)
 		g->shard_load[r->shard]--;
 	if (r->identity)
@@ -83,7 +83,7 @@
 
 void gate_leave_link(struct gate_request *r)
 {
-	link_withdraw(&r->gate->load.link, r->promised_bytes);
+	link_unreserve(&r->gate->load.link, r->promised_bytes);
 	r->promised_bytes = 0;
 }
 
@@ -148,8 +148,9 @@
 		       clock_now_ms());
 	ids_init(&g->ids, MAX_IDS);
 	grants_init(&g->grants, node->settings.grants,
-		    clock_now_ms() + grants_past_ms(node->settings.grants,
-						    node->settings.lease_ms));
+		    clock_now_ms() + grants_prev_process_hold_ms(
+					     node->settings.grants,
+					     node->settings.lease_ms));
 	balance_init(&g->balance);
 	g->class_indexes =
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
@@ -216,8 +217,8 @@
 	g->fetcher.max_idle_s = g->node->settings.kept_idle_s;
 	g->fetcher_ready = true;
 	/* A server that announces itself again has started again: cold. */
-	admission_announce(&g->load, g->node->settings.limit, b->slots,
-			   clock_now_ms());
+	admission_reset(&g->load, g->node->settings.limit, b->slots,
+			clock_now_ms());
 	COUNT(gate_cold_starts);
 	EVENT(server_announced, NULL,
 	      "\"life\":\"%s\",\"slots\":%u,\"again\":%s", event_text(b->life),
@@ -252,7 +253,7 @@
 	int err;
 
 	m->load = admission_load(&g->load);
-	m->limit = (int64_t)g->load.limit.now;
+	m->limit = (int64_t)g->load.limit.allowed;
 	if (!identity) {
 		entry_on_message(&g->node->entry, m);
 		return;
@@ -297,13 +298,13 @@
 	      ",\"arrived_ms\":%" PRId64,
 	      result_name(result), n->self, r->keyed ? r->shard : -1,
 	      ours ? "true" : "false",
-	      r->keyed && grants_granted(&g->grants, r->shard, fence, now)
+	      r->keyed && grants_server_holds(&g->grants, r->shard, fence, now)
 		      ? "true"
 		      : "false",
 	      r->keyed && member_awaits(n, r->shard) ? "true" : "false",
-	      member_lease_end_ms(n) - now, g->load.n_running,
-	      g->load.queue.heap->len, g->load.limit.now,
-	      cold_now(&g->load.cold, now) ? "true" : "false",
+	      member_lease_end_ms(n) - now, g->load.n_in_flight,
+	      g->load.queue.heap->len, g->load.limit.allowed,
+	      cold_start_is_active(&g->load.cold_start, now) ? "true" : "false",
 	      g->draining ? "true" : "false", r->shed ? "true" : "false",
 	      r->deadline_ms - now, wait_ms, r->sent_ms, r->arrived_ms);
 }
@@ -313,7 +314,7 @@
 	struct request_msg m = { .type = REQ_REFUSED,
 				 .number = result,
 				 .flags = r->shed ? REQ_FLAG_REACHED : 0,
-				 .wait_ms = admission_wait_ms(
+				 .wait_ms = admission_retry_after_ms(
 					 &r->gate->load,
 					 g_rand_double(r->gate->rand),
 					 clock_now_ms()) };
@@ -380,7 +381,7 @@
 		return false;
 	/* Sent before it holds the key, the server would turn it away. */
 	return !r->gate->grants.ops ||
-	       grants_granted(&r->gate->grants, r->shard, *fence, now);
+	       grants_server_holds(&r->gate->grants, r->shard, *fence, now);
 }
 
 static void set_headers(struct gate_request *r, int64_t fence, int64_t left_ms,
@@ -455,7 +456,7 @@
 		      ",\"sent_ms\":%" PRId64 ",\"arrived_ms\":%" PRId64,
 		      g->node->member.self, event_text(g->backend_server.id),
 		      r->keyed ? r->shard : -1, fence, now - r->arrived_ms,
-		      r->parked_ms, g->load.n_running, left_ms, r->sent_ms,
+		      r->parked_ms, g->load.n_in_flight, left_ms, r->sent_ms,
 		      r->arrived_ms);
 	fetch_start(&r->fetch, &g->fetcher, r->method, url, r->headers,
 		    r->body->data, r->body->len, left_ms + ANSWER_GRACE_MS,
@@ -474,7 +475,7 @@
 	       admission_next(&g->load, clock_now_ms(), &q))
 		start(q.request);
 	if (!ev_is_active(&g->watch) &&
-	    admission_needs_watch(&g->load, clock_now_ms()))
+	    admission_needs_timer(&g->load, clock_now_ms()))
 		ev_timer_again(g->node->loop, &g->watch);
 }
 
@@ -561,7 +562,7 @@
 	}
 	if (!ev_is_active(&g->expiry))
 		ev_timer_again(g->node->loop, &g->expiry);
-	r->promised_bytes = admission_promise(&g->load, &q);
+	r->promised_bytes = admission_reserve_link(&g->load, &q);
 	if (victim) {
 		struct gate_request *v = victim->request;
 
@@ -658,7 +659,7 @@
 	 * still be at work.
 	 */
 	if (g->connect_refusals >= MAX_CONNECT_FAILURES)
-		grants_server_ended(&g->grants);
+		grants_server_stopped(&g->grants);
 	gate_connected(g);
 	gate_leave(g);
 	node_backend_left(g->node);
@@ -673,7 +674,7 @@
 	if (!g->fetcher_ready)
 		return;
 	gate_follow_configuration(g);
-	while (admission_overtaken(&g->load, now, &q)) {
+	while (admission_pop_overtaken(&g->load, now, &q)) {
 		COUNT(gate_refused_overtaken);
 		gate_refuse(q.request, RESULT_OVERLOAD);
 	}
--- a/node/granter.c
+++ b/node/granter.c
@@ -38,7 +38,7 @@
 		COUNT(grants_not_applied);
 	else if (outcome == GRANT_IN_DOUBT)
 		COUNT(grants_in_doubt);
-	else if (c->kind == GRANT_CALL_TAKE_BACK)
+	else if (c->kind == GRANT_CALL_RELEASE)
 		COUNT(grants_taken_back);
 	else if (renews)
 		COUNT(grants_renewed);
@@ -61,9 +61,9 @@
 		EVENT(grant_in_doubt, NULL,
 		      "\"kind\":\"%s\",\"shards\":[%u,%u],\"fence\":%" PRId64
 		      ",\"why\":\"%s\",\"status\":%ld,\"until_ms\":%" PRId64,
-		      c->kind == GRANT_CALL_GIVE ? "give" : "take_back",
+		      c->kind == GRANT_CALL_GRANT ? "give" : "take_back",
 		      c->first, c->last, c->row.fence, result_name(result),
-		      l->fetch.status, c->until_ms - clock_now_ms());
+		      l->fetch.status, c->latest_end_ms - clock_now_ms());
 }
 
 static void on_done(struct fetch *f, int result)
@@ -108,17 +108,17 @@
 {
 	uint32_t kinds = 0;
 
-	if (x->n_busy[GRANT_CALL_GIVE] < GRANTER_GIVES && !x->await_beat)
-		kinds |= 1 << GRANT_CALL_GIVE;
-	if (x->n_busy[GRANT_CALL_TAKE_BACK] < GRANTER_TAKES)
-		kinds |= 1 << GRANT_CALL_TAKE_BACK;
+	if (x->n_busy[GRANT_CALL_GRANT] < GRANTER_GIVES && !x->await_beat)
+		kinds |= 1 << GRANT_CALL_GRANT;
+	if (x->n_busy[GRANT_CALL_RELEASE] < GRANTER_TAKES)
+		kinds |= 1 << GRANT_CALL_RELEASE;
 	return kinds;
 }
 
 static void carry(struct granter *x, struct granter_lane *l)
 {
 	const struct settings *s = &x->node->settings;
-	bool give = l->call.kind == GRANT_CALL_GIVE;
+	bool give = l->call.kind == GRANT_CALL_GRANT;
 	GPtrArray *headers = headers_new();
 	g_autofree char *url = g_strdup_printf("http://%s%s", s->backend_server,
 					       grant_wire_path(l->call.kind));
@@ -153,8 +153,8 @@
 			break;
 		carry(x, l);
 	}
-	x->more = x->n_busy[GRANT_CALL_GIVE] >= GRANTER_GIVES ||
-		  x->n_busy[GRANT_CALL_TAKE_BACK] >= GRANTER_TAKES;
+	x->more = x->n_busy[GRANT_CALL_GRANT] >= GRANTER_GIVES ||
+		  x->n_busy[GRANT_CALL_RELEASE] >= GRANTER_TAKES;
 }
 
 void granter_init(struct granter *x, struct node *node)
@@ -188,7 +188,7 @@
 		return;
 	x->heard_ms = clock_now_ms();
 	x->await_beat = false;
-	grant_call_heard(&x->node->gate.grants);
+	grant_call_heartbeat_received(&x->node->gate.grants);
 	pump(x);
 }
 
--- a/node/node.c
+++ b/node/node.c
@@ -110,7 +110,7 @@
 		fleet_service(&n->member.fleet, n->settings.service);
 
 	return n->gate.grants.ops && s && s->key_numbers &&
-	       (!n->gate.grants.heard || !n->gate.grants.n_shards);
+	       (!n->gate.grants.heartbeat_seen || !n->gate.grants.n_shards);
 }
 
 static uint32_t op_in_flight(void *user, uint32_t shard)
@@ -419,7 +419,7 @@
 	if (!idle && !time_is_up(n, asked_ms))
 		return;
 	EVENT(stopped, NULL, "\"requests\":%u,\"running\":%u,\"ms\":%" PRId64,
-	      n->entry.requests->len, n->gate.load.n_running, asked_ms);
+	      n->entry.requests->len, n->gate.load.n_in_flight, asked_ms);
 	g_info("stopped, %s in progress", idle ? "nothing" : "something");
 	begin_ending(n, clock_now_ms());
 }
@@ -512,7 +512,7 @@
 		return;
 	g_info("asked to stop: finishing what is in progress");
 	EVENT(stopping, NULL, "\"requests\":%u,\"running\":%u",
-	      n->entry.requests->len, n->gate.load.n_running);
+	      n->entry.requests->len, n->gate.load.n_in_flight);
 	n->stopping = true;
 	n->stopping_ms = clock_now_ms();
 	if (keeps_backend(n))
--- a/node/node.h
+++ b/node/node.h
@@ -49,7 +49,8 @@
 	struct httpd ready_httpd; /* the platform asks here whether we are */
 	struct httpd announce_httpd; /* the backend server's heartbeats */
 	struct member superseded; /* by the join being applied; id 0 none */
-	struct life life; /* of the backend server, by its heartbeats */
+	/* The backend server, by its heartbeats. */
+	struct server_instance life;
 	bool backend_left;
 	struct log_client operators; /* what operators publish, elsewhere */
 	struct published published;
--- a/node/operator.c
+++ b/node/operator.c
@@ -126,9 +126,10 @@
 			"moves_unsettled_ms",
 			(json_int_t)unsettled_ms(&unsettled), "links",
 			peers_n_links(&n->peers), "in_flight",
-			n->gate.load.n_running, "limit", n->gate.load.limit.now,
-			"members", members_json(n), "data_centres",
-			data_centres_json(n), "counters", counters_json()));
+			n->gate.load.n_in_flight, "limit",
+			n->gate.load.limit.allowed, "members", members_json(n),
+			"data_centres", data_centres_json(n), "counters",
+			counters_json()));
 }
 
 static void get_metrics(struct node *n, struct httpd_request *r)
@@ -153,8 +154,8 @@
 		n->member.fleet.configuration.n_classes, n->member.fleet.source,
 		n->member.published_source, fleet_n_members(&n->member.fleet),
 		held(n), member_lease_end_ms(&n->member) > clock_now_ms(),
-		unsettled.n, unsettled_ms(&unsettled), n->gate.load.n_running,
-		n->gate.load.queue.heap->len, n->gate.load.limit.now,
+		unsettled.n, unsettled_ms(&unsettled), n->gate.load.n_in_flight,
+		n->gate.load.queue.heap->len, n->gate.load.limit.allowed,
 		n->gate.load.limit.recent_ms * 1000);
 	httpd_reply(r, 200, NULL, text->str, text->len);
 	g_string_free(text, TRUE);
--- a/t/sim-backend.c
+++ b/t/sim-backend.c
@@ -73,7 +73,7 @@
 		int64_t fence;
 
 		if (member_holds(&nd->member, i, &fence) &&
-		    grants_granted(&nd->grants, i, fence, sim_local(nd)) &&
+		    grants_server_holds(&nd->grants, i, fence, sim_local(nd)) &&
 		    !row_of(rows, shard_from(nd->sim, i)))
 			nd->sim->unnamed++;
 	}
@@ -96,7 +96,7 @@
 		char life[LIFE_MAX_LEN + 1];
 
 		nd->life_known = b->life;
-		grants_forget_server(&nd->grants);
+		grants_new_instance(&nd->grants);
 		if (m->self)
 			member_set_wanted(m, false, now);
 		g_snprintf(life, sizeof(life), "life-%u", b->life);
@@ -108,20 +108,21 @@
 			      service->key_numbers);
 	if (s->way == &grant_by_call) {
 		++b->number;
-		grant_call_heard(&nd->grants);
+		grant_call_heartbeat_received(&nd->grants);
 		g_array_unref(holds);
 		return NULL;
 	}
-	grant_beat_heard(&nd->grants, ++b->number, holds, NULL, HOLD_MAX_MS,
-			 now);
+	grant_heartbeat_received(&nd->grants, ++b->number, holds, NULL,
+				 HOLD_MAX_MS, now);
 	g_array_unref(holds);
 	grant_owner_from(&owner, m);
-	rows = grant_beat_rows(&nd->grants, &owner, true, HOLD_MAX_MS, now,
-			       hold_ms);
+	rows = grant_heartbeat_rows(&nd->grants, &owner, true, HOLD_MAX_MS, now,
+				    hold_ms);
 	if (!rows)
 		return NULL;
 	n_named = s->room ? MIN(s->room, rows->len) : rows->len;
-	grant_beat_given(&nd->grants, rows, n_named, b->number, *hold_ms, now);
+	grant_heartbeat_answered(&nd->grants, rows, n_named, b->number,
+				 *hold_ms, now);
 	g_array_set_size(rows, n_named);
 	check_granted(nd, rows);
 	return rows;
@@ -210,7 +211,7 @@
 	struct sim_call k = { .call = *c,
 			      .process = s->process[nd->slot],
 			      .life = b->life,
-			      .outcome = GRANT_DONE };
+			      .outcome = GRANT_APPLIED };
 	uint32_t draw = s->loss > 0 ? g_rand_int_range(s->rand, 0, 1000) : 999;
 
 	if (nd->life_known != b->life || !b->up) {
@@ -225,7 +226,7 @@
 	if (s->loss > 0 && g_rand_int_range(s->rand, 0, 1000) < HELD_BACK)
 		k.arrives += g_rand_int_range(s->rand, 0, HELD_BACK_MS);
 	if (k.arrives - s->now > SEND_MS &&
-	    !(s->grant_rules & GRANT_RULE_SENT_IN_TIME)) {
+	    !(s->grant_rules & GRANT_RULE_SEND_DEADLINE)) {
 		k.outcome = GRANT_NOT_APPLIED;
 		k.answered = k.arrives;
 		g_array_append_val(b->calls, k);
@@ -249,7 +250,7 @@
 {
 	struct grant_call c;
 	struct grant_owner o;
-	uint32_t kinds = 1 << GRANT_CALL_GIVE | 1 << GRANT_CALL_TAKE_BACK;
+	uint32_t kinds = 1 << GRANT_CALL_GRANT | 1 << GRANT_CALL_RELEASE;
 
 	grant_owner_from(&o, &nd->member);
 	while (nd->backend.calls->len < MAX_CALLS &&
@@ -266,7 +267,8 @@
 	uint32_t i;
 
 	for (i = k->call.first; i <= k->call.last; i++)
-		if (b->fence[i] > k->call.row.fence && k->outcome == GRANT_DONE)
+		if (b->fence[i] > k->call.row.fence &&
+		    k->outcome == GRANT_APPLIED)
 			k->outcome = GRANT_FENCED;
 	if (k->outcome == GRANT_FENCED || until <= s->now)
 		return;
@@ -310,7 +312,7 @@
 			k->applied = 0;
 			if (k->life != b->life || !b->up)
 				k->outcome = GRANT_IN_DOUBT;
-			else if (k->call.kind == GRANT_CALL_GIVE)
+			else if (k->call.kind == GRANT_CALL_GRANT)
 				apply_give(nd, k);
 			else
 				apply_take_back(nd, k);
--- a/t/sim.c
+++ b/t/sim.c
@@ -121,7 +121,7 @@
 	struct sim_node *nd = user;
 
 	if (sim_has_backend(nd))
-		return ((!nd->grants.heard || !nd->grants.n_shards) &&
+		return ((!nd->grants.heartbeat_seen || !nd->grants.n_shards) &&
 			!(nd->sim->disabled_rules & RULE_SERVER_TELLS_FIRST)) ||
 		       grants_may_hold(&nd->grants, shard, sim_local(nd));
 	return nd->busy_until[shard] > nd->sim->now;
@@ -196,7 +196,8 @@
 	nd->paused_until = 0;
 	s->process[slot]++;
 	grants_init(&nd->grants, s->way,
-		    sim_local(nd) + grants_past_ms(s->way, timing.lease_ms));
+		    sim_local(nd) + grants_prev_process_hold_ms(
+					    s->way, timing.lease_ms));
 	nd->grants.disabled_rules = s->grant_rules;
 	nd->life_known = 0;
 	if (s->granted && !sim_has_backend(nd))
--- a/t/test-gate.c
+++ b/t/test-gate.c
@@ -26,15 +26,15 @@
 	g_assert_false(limit_allows(&l, 2));
 	for (now = 1; now <= 1000; now++) {
 		for (i = 0; i < 20; i++)
-			limit_allows(&l, (uint32_t)l.now);
+			limit_allows(&l, (uint32_t)l.allowed);
 		limit_done(&l, LIMIT_ANSWERED, 1, now, now);
 	}
-	g_assert_cmpfloat(l.now, <=, 6);
+	g_assert_cmpfloat(l.allowed, <=, 6);
 	for (; now <= 8000; now++) {
-		limit_allows(&l, (uint32_t)l.now);
+		limit_allows(&l, (uint32_t)l.allowed);
 		limit_done(&l, LIMIT_ANSWERED, 1, now, now);
 	}
-	g_assert_cmpfloat(l.now, ==, 20);
+	g_assert_cmpfloat(l.allowed, ==, 20);
 }
 
 /*
@@ -48,12 +48,12 @@
 
 	limit_init(&l, &limit_adaptive, 20, 0);
 	for (now = 1; now <= 8000; now++) {
-		limit_allows(&l, (uint32_t)l.now);
+		limit_allows(&l, (uint32_t)l.allowed);
 		limit_done(&l, LIMIT_ANSWERED, 1, now, now);
 	}
 	for (; now <= 8010; now++)
 		limit_done(&l, LIMIT_ANSWERED, 50, now, now);
-	g_assert_cmpfloat(l.now, <=, LIMIT_COLD);
+	g_assert_cmpfloat(l.allowed, <=, LIMIT_INITIAL);
 	g_assert_cmpuint(l.n_cold_starts, >=, 1);
 }
 
@@ -69,18 +69,18 @@
 
 	limit_init(&l, &limit_adaptive, 20, 0);
 	for (now = 1; now <= 8000; now++) {
-		limit_allows(&l, (uint32_t)l.now);
+		limit_allows(&l, (uint32_t)l.allowed);
 		limit_done(&l, LIMIT_ANSWERED, 1, now, now);
 	}
-	limit_watch(&l, 100, now);
-	g_assert_false(limit_allows(&l, LIMIT_COLD));
+	limit_check_stall(&l, 100, now);
+	g_assert_false(limit_allows(&l, LIMIT_INITIAL));
 	for (i = 0; i < 20; i++)
 		limit_done(&l, LIMIT_ANSWERED, 150, now - 150, now);
-	limit_watch(&l, 0, now);
-	g_assert_false(limit_allows(&l, LIMIT_COLD));
+	limit_check_stall(&l, 0, now);
+	g_assert_false(limit_allows(&l, LIMIT_INITIAL));
 	limit_done(&l, LIMIT_ANSWERED, 1, now, now + 1);
-	g_assert_true(limit_allows(&l, LIMIT_COLD));
-	g_assert_cmpfloat(l.now, >=, 10);
+	g_assert_true(limit_allows(&l, LIMIT_INITIAL));
+	g_assert_cmpfloat(l.allowed, >=, 10);
 	g_assert_cmpuint(l.n_cold_starts, ==, 0);
 }
 
@@ -91,11 +91,11 @@
 
 	limit_init(&l, &limit_adaptive, 20, 0);
 	for (now = 1; now <= 8000; now++) {
-		limit_allows(&l, (uint32_t)l.now);
+		limit_allows(&l, (uint32_t)l.allowed);
 		limit_done(&l, LIMIT_ANSWERED, 1, now, now);
 	}
 	limit_done(&l, LIMIT_SHED, 0, now, now);
-	g_assert_cmpfloat(l.now, ==, 10);
+	g_assert_cmpfloat(l.allowed, ==, 10);
 }
 
 static void test_queue_order(void)
@@ -137,8 +137,8 @@
 
 	queue_init(&q, 4);
 	queue_set_classes(&q, 2);
-	queue_set_share(&q, 0, 0.0);
-	queue_set_share(&q, 1, 0.5);
+	queue_set_refusal_target(&q, 0, 0.0);
+	queue_set_refusal_target(&q, 1, 0.5);
 	for (i = 0; i < 4; i++) {
 		in.class_index = i % 2;
 		in.due_ms = i;
@@ -160,18 +160,18 @@
 	int i;
 
 	queue_init(&q, 100);
-	queue_learn(&q, 0, 100);
+	queue_update_service_ms(&q, 0, 100);
 	for (i = 0; i < 10; i++)
 		g_assert_null(queue_push(&q, &in));
 	in.due_ms = 9000;
 	in.deadline_ms = 10000;
-	g_assert_true(queue_can_meet(&q, 0, &in, 2, 2));
+	g_assert_true(queue_can_finish_in_time(&q, 0, &in, 2, 2));
 	/* In time for its caller, and too late for its target by waiting. */
 	in.due_ms = 300;
-	g_assert_false(queue_can_meet(&q, 0, &in, 2, 2));
+	g_assert_false(queue_can_finish_in_time(&q, 0, &in, 2, 2));
 	in.due_ms = 9000;
 	in.deadline_ms = 300;
-	g_assert_false(queue_can_meet(&q, 0, &in, 2, 2));
+	g_assert_false(queue_can_finish_in_time(&q, 0, &in, 2, 2));
 	queue_finish(&q);
 }
 
@@ -191,12 +191,12 @@
 	queue_init(&q, 100);
 	queue_set_classes(&q, 2);
 	for (i = 0; i < 50; i++) {
-		queue_learn(&q, 0, 500);
-		queue_learn(&q, 1, 30);
+		queue_update_service_ms(&q, 0, 500);
+		queue_update_service_ms(&q, 1, 30);
 	}
-	g_assert_true(queue_can_meet(&q, 0, &in, 4, 18));
+	g_assert_true(queue_can_finish_in_time(&q, 0, &in, 4, 18));
 	in.class_index = 0;
-	g_assert_false(queue_can_meet(&q, 0, &in, 4, 18));
+	g_assert_false(queue_can_finish_in_time(&q, 0, &in, 4, 18));
 	queue_finish(&q);
 }
 
@@ -260,21 +260,21 @@
 
 static void test_ids_made(void)
 {
-	g_assert_cmpint(ids_made_ms("017f22e2-79b0-7cc3-98c4-dc0c0c07398f"), ==,
-			0x017f22e279b0);
-	g_assert_cmpint(ids_made_ms("017f22e2-79b0-4cc3-98c4-dc0c0c07398f"), ==,
-			-1);
-	g_assert_cmpint(ids_made_ms("booking-1"), ==, -1);
+	g_assert_cmpint(ids_created_ms("017f22e2-79b0-7cc3-98c4-dc0c0c07398f"),
+			==, 0x017f22e279b0);
+	g_assert_cmpint(ids_created_ms("017f22e2-79b0-4cc3-98c4-dc0c0c07398f"),
+			==, -1);
+	g_assert_cmpint(ids_created_ms("booking-1"), ==, -1);
 }
 
-static uint32_t sent_in(struct cold *c, int64_t from, int64_t to)
+static uint32_t sent_in(struct cold_start *c, int64_t from, int64_t to)
 {
 	uint32_t n = 0;
 	int64_t now;
 
 	for (now = from; now < to; now++)
-		while (n < 100000 && cold_allows(c, now)) {
-			cold_sent(c, now);
+		while (n < 100000 && cold_start_allows(c, now)) {
+			cold_start_record_send(c, now);
 			n++;
 		}
 	return n;
@@ -288,30 +288,30 @@
  */
 static void test_cold_before_configuration(void)
 {
-	struct cold c;
+	struct cold_start c;
 
-	cold_init(&c, 0);
-	cold_set(&c, 3000, 0);
+	cold_start_init(&c, 0);
+	cold_start_set_remaining(&c, 3000, 0);
 	g_assert_cmpuint(sent_in(&c, 0, 1000), ==, 0);
 	g_assert_cmpuint(sent_in(&c, 1000, 2000), <=, 5);
-	cold_set_rate(&c, 25);
+	cold_start_set_rate(&c, 25);
 	g_assert_cmpuint(sent_in(&c, 2000, 2900), <=, 25);
 }
 
 /* In any second, not only in those that begin on the full, it stays below. */
 static void test_cold_sliding(void)
 {
-	struct cold c;
+	struct cold_start c;
 	uint32_t first, second;
 
-	cold_init(&c, 0);
-	cold_set_rate(&c, 20);
-	cold_set(&c, 60000, 0);
+	cold_start_init(&c, 0);
+	cold_start_set_rate(&c, 20);
+	cold_start_set_remaining(&c, 60000, 0);
 	first = sent_in(&c, 1000, 1500);
 	second = sent_in(&c, 1500, 2000);
 	g_assert_cmpuint(first, >, 0);
 	g_assert_cmpuint(first + second, <=, 20);
-	cold_set(&c, 0, 2000);
+	cold_start_set_remaining(&c, 0, 2000);
 	g_assert_cmpuint(sent_in(&c, 2000, 2002), ==, 100000);
 }
 
@@ -319,8 +319,8 @@
 {
 	queue_init(q, 4);
 	queue_set_classes(q, 2);
-	queue_learn(q, 0, short_ms);
-	queue_learn(q, 1, long_ms);
+	queue_update_service_ms(q, 0, short_ms);
+	queue_update_service_ms(q, 1, long_ms);
 }
 
 /*
@@ -368,10 +368,10 @@
 		g_assert_null(queue_push(&q, &in));
 	in.class_index = 0;
 	in.due_ms = 60;
-	g_assert_true(queue_can_meet(&q, 0, &in, 12, 12));
+	g_assert_true(queue_can_finish_in_time(&q, 0, &in, 12, 12));
 	in.class_index = 1;
 	in.due_ms = 250;
-	g_assert_false(queue_can_meet(&q, 0, &in, 12, 12));
+	g_assert_false(queue_can_finish_in_time(&q, 0, &in, 12, 12));
 	queue_finish(&q);
 }
 
@@ -423,7 +423,7 @@
 		if (now % 2 && !admission_offer(a, &in, false, now, &victim))
 			g_assert_null(victim);
 		while (queue_pop_expired(&a->queue, now, &out) ||
-		       admission_overtaken(a, now, &out))
+		       admission_pop_overtaken(a, now, &out))
 			if (out.class_index == 1)
 				last = now;
 		if (now % 4 == 0 && queue_pop(&a->queue, &out))
@@ -442,11 +442,11 @@
 	struct admission a;
 
 	admission_init(&a, &limit_fixed, 0, 0);
-	admission_announce(&a, &limit_fixed, 12, 0);
+	admission_reset(&a, &limit_fixed, 12, 0);
 	queue_set_classes(&a.queue, 2);
-	queue_learn(&a.queue, 0, 40);
-	queue_learn(&a.queue, 1, 150);
-	a.n_running = 12;
+	queue_update_service_ms(&a.queue, 0, 40);
+	queue_update_service_ms(&a.queue, 1, 150);
+	a.n_in_flight = 12;
 	g_assert_cmpint(last_refused_ms(&a), <=, 400);
 	admission_finish(&a);
 }
@@ -475,7 +475,7 @@
 		if (now % gap_ms == 0 &&
 		    !admission_offer(a, &in, true, now, &victim))
 			g_free(victim);
-		while (admission_overtaken(a, now, &out))
+		while (admission_pop_overtaken(a, now, &out))
 			;
 		while (admission_next(a, now, &out)) {
 			admission_started(a, now);
@@ -500,9 +500,9 @@
 	struct admission a;
 
 	admission_init(&a, &limit_fixed, 0, 0);
-	admission_announce(&a, &limit_fixed, 12, 0);
+	admission_reset(&a, &limit_fixed, 12, 0);
 	queue_set_classes(&a.queue, 1);
-	queue_learn(&a.queue, 0, WORK_MS);
+	queue_update_service_ms(&a.queue, 0, WORK_MS);
 	g_assert_cmpuint(begun_in_time(&a, 6), >=, able * 9 / 10);
 	admission_finish(&a);
 }
@@ -516,10 +516,10 @@
 	link_sent(&l, 90000, 1000);
 	g_assert_cmpfloat(link_wait_ms(&l, 0, 1000), ==, 100);
 	g_assert_cmpfloat(link_wait_ms(&l, 9000, 1050), ==, 60);
-	link_promise(&l, 18000);
+	link_reserve(&l, 18000);
 	g_assert_cmpfloat(link_wait_ms(&l, 0, 1050), ==, 70);
 	g_assert_cmpfloat(link_backlog_ms(&l, 1050), ==, 50);
-	link_withdraw(&l, 18000);
+	link_unreserve(&l, 18000);
 	link_sent(&l, 9000, 1090);
 	g_assert_cmpfloat(link_wait_ms(&l, 0, 1090), ==, 20);
 	g_assert_cmpfloat(link_wait_ms(&l, 0, 5000), ==, 0);
@@ -536,10 +536,10 @@
 
 	delay_init(&d, 1000, 500);
 	for (ms = 0; ms < 3600 * 1000; ms += 1000)
-		g_assert_cmpint(delay_learn(&d, 1000 + ms,
-					    500 + ms + ms / 5000),
+		g_assert_cmpint(delay_update(&d, 1000 + ms,
+					     500 + ms + ms / 5000),
 				<=, 5);
-	g_assert_cmpint(delay_learn(&d, 1000 + ms, 900 + ms + ms / 5000), >=,
+	g_assert_cmpint(delay_update(&d, 1000 + ms, 900 + ms + ms / 5000), >=,
 			400);
 }
 
@@ -550,12 +550,12 @@
 
 	queue_init(&q, 10);
 	queue_set_classes(&q, 1);
-	queue_set_share(&q, 0, 0.5);
-	queue_learn(&q, 0, 40);
+	queue_set_refusal_target(&q, 0, 0.5);
+	queue_update_service_ms(&q, 0, 40);
 	queue_set_classes(&q, 3);
 	g_assert_cmpfloat(q.classes[0].service_ms, >, 0);
 	g_assert_cmpfloat(q.classes[2].service_ms, ==, 0);
-	g_assert_false(q.has_shares);
+	g_assert_false(q.has_refusal_targets);
 	queue_finish(&q);
 }
 
--- a/t/test-grants.c
+++ b/t/test-grants.c
@@ -14,7 +14,7 @@
 #define N_KEYS 256
 #define HOLD_MAX_MS 10000
 #define LEASE_MS 3000
-#define BOTH (1 << GRANT_CALL_GIVE | 1 << GRANT_CALL_TAKE_BACK)
+#define BOTH (1 << GRANT_CALL_GRANT | 1 << GRANT_CALL_RELEASE)
 
 /* What a node would say of its shards: fence 0 where it does not serve. */
 struct owned {
@@ -59,11 +59,11 @@
 	f->now = 100000;
 	grants_init(&f->g, &grant_by_call, 0);
 	grants_resize(&f->g, N_SHARDS, N_KEYS);
-	grant_call_heard(&f->g);
+	grant_call_heartbeat_received(&f->g);
 	f->o.ops = &owned_ops;
 	f->o.user = &f->w;
 	f->o.newest_fence = 999;
-	f->o.current = true;
+	f->o.is_caught_up = true;
 	renew_lease(f);
 }
 
@@ -96,12 +96,12 @@
 	set_up(f);
 	own(f, 0, 3, 10);
 	g_assert_true(next(f, &c));
-	g_assert_cmpint(c.kind, ==, GRANT_CALL_GIVE);
+	g_assert_cmpint(c.kind, ==, GRANT_CALL_GRANT);
 	g_assert_cmpuint(c.first, ==, 0);
 	g_assert_cmpuint(c.last, ==, 3);
 	g_assert_cmpint(c.row.from, ==, 0);
 	g_assert_cmpint(c.row.to, ==, 127);
-	done(f, &c, GRANT_DONE, NULL);
+	done(f, &c, GRANT_APPLIED, NULL);
 }
 
 /*
@@ -116,13 +116,13 @@
 	set_up(&f);
 	own(&f, 0, 3, 10);
 	g_assert_true(next(&f, &c));
-	g_assert_false(grants_granted(&f.g, 0, 10, f.now));
+	g_assert_false(grants_server_holds(&f.g, 0, 10, f.now));
 	g_assert_true(grants_may_hold(&f.g, 0, f.now));
 	g_assert_false(next(&f, &other));
-	done(&f, &c, GRANT_DONE, NULL);
-	g_assert_true(grants_granted(&f.g, 3, 10, f.now));
-	g_assert_false(grants_granted(&f.g, 4, 10, f.now));
-	g_assert_cmpuint(grant_call_runs(&f.g), ==, 1);
+	done(&f, &c, GRANT_APPLIED, NULL);
+	g_assert_true(grants_server_holds(&f.g, 3, 10, f.now));
+	g_assert_false(grants_server_holds(&f.g, 4, 10, f.now));
+	g_assert_cmpuint(grant_call_count_ranges(&f.g), ==, 1);
 	grants_finish(&f.g);
 }
 
@@ -139,10 +139,10 @@
 	set_up(&f);
 	own(&f, 0, 0, 10);
 	g_assert_true(next(&f, &c));
-	g_assert_cmpfloat(c.send_by_ms + c.hold_ms * GRANT_SLOW_CLOCK, <=,
-			  f.o.lease_end_ms);
-	g_assert_cmpint(c.until_ms, <=, f.o.lease_end_ms);
-	g_assert_cmpint(c.sure_until_ms, <=, f.now + c.hold_ms);
+	g_assert_cmpfloat(c.send_by_ms + c.hold_ms * GRANT_CLOCK_DRIFT_FACTOR,
+			  <=, f.o.lease_end_ms);
+	g_assert_cmpint(c.latest_end_ms, <=, f.o.lease_end_ms);
+	g_assert_cmpint(c.earliest_end_ms, <=, f.now + c.hold_ms);
 	grants_finish(&f.g);
 }
 
@@ -170,7 +170,7 @@
 	int64_t end;
 
 	give_four(&f);
-	end = f.g.shards[0].sure_until_ms;
+	end = f.g.shards[0].holds_until_ms;
 	for (;; f.now += 50) {
 		renew_lease(&f);
 		if (next(&f, &c))
@@ -180,8 +180,8 @@
 	g_assert_cmpint(end - f.now, <, 2000);
 	g_assert_cmpuint(c.first, ==, 0);
 	g_assert_cmpuint(c.last, ==, 3);
-	done(&f, &c, GRANT_DONE, NULL);
-	g_assert_cmpint(f.g.shards[2].sure_until_ms, >, end);
+	done(&f, &c, GRANT_APPLIED, NULL);
+	g_assert_cmpint(f.g.shards[2].holds_until_ms, >, end);
 	grants_finish(&f.g);
 }
 
@@ -202,13 +202,13 @@
 	done(&f, &late, GRANT_IN_DOUBT, NULL);
 	own(&f, 0, 3, 0);
 	g_assert_true(next(&f, &c));
-	g_assert_cmpint(c.kind, ==, GRANT_CALL_TAKE_BACK);
+	g_assert_cmpint(c.kind, ==, GRANT_CALL_RELEASE);
 	g_assert_cmpint(c.row.fence, ==, 10);
-	done(&f, &c, GRANT_DONE, "5c0e");
-	g_assert_false(grants_granted(&f.g, 0, 10, f.now));
+	done(&f, &c, GRANT_APPLIED, "5c0e");
+	g_assert_false(grants_server_holds(&f.g, 0, 10, f.now));
 	g_assert_true(grants_may_hold(&f.g, 0, f.now));
-	g_assert_true(grants_may_hold(&f.g, 0, late.until_ms - 1));
-	g_assert_false(grants_may_hold(&f.g, 0, late.until_ms));
+	g_assert_true(grants_may_hold(&f.g, 0, late.latest_end_ms - 1));
+	g_assert_false(grants_may_hold(&f.g, 0, late.latest_end_ms));
 	grants_finish(&f.g);
 }
 
@@ -238,17 +238,17 @@
 	give_four(&f);
 	own(&f, 2, 3, 0);
 	g_assert_true(next(&f, &c));
-	g_assert_cmpint(c.kind, ==, GRANT_CALL_TAKE_BACK);
+	g_assert_cmpint(c.kind, ==, GRANT_CALL_RELEASE);
 	g_assert_cmpuint(c.first, ==, 2);
 	g_assert_cmpuint(c.last, ==, 3);
 	done(&f, &c, GRANT_IN_DOUBT, NULL);
 	g_assert_true(grants_may_hold(&f.g, 2, f.now));
 	f.now += 100;
 	g_assert_true(next(&f, &c));
-	g_assert_cmpint(c.kind, ==, GRANT_CALL_TAKE_BACK);
-	done(&f, &c, GRANT_DONE, "ab12");
+	g_assert_cmpint(c.kind, ==, GRANT_CALL_RELEASE);
+	done(&f, &c, GRANT_APPLIED, "ab12");
 	g_assert_false(grants_may_hold(&f.g, 2, f.now));
-	g_assert_true(grants_granted(&f.g, 1, 10, f.now));
+	g_assert_true(grants_server_holds(&f.g, 1, 10, f.now));
 	grants_finish(&f.g);
 }
 
@@ -265,21 +265,21 @@
 	give_four(&f);
 	own(&f, 3, 3, 0);
 	g_assert_true(next(&f, &c));
-	done(&f, &c, GRANT_DONE, "00ab12");
+	done(&f, &c, GRANT_APPLIED, "00ab12");
 	grants_export(&f.g, 3, told);
-	g_assert_cmpuint(told->len, ==, GRANTS_NUMBERS);
+	g_assert_cmpuint(told->len, ==, GRANTS_ENTRY_LEN);
 	set_up(&to);
 	g_assert_true(grants_import(&to.g, (int64_t *)told->data));
 	own(&to, 2, 4, 20);
 	g_assert_true(next(&to, &c));
 	g_assert_cmpuint(c.first, ==, 2);
 	g_assert_cmpuint(c.last, ==, 2);
-	done(&to, &c, GRANT_DONE, NULL);
+	done(&to, &c, GRANT_APPLIED, NULL);
 	g_assert_true(next(&to, &c));
 	g_assert_cmpuint(c.first, ==, 3);
 	g_assert_cmpuint(c.last, ==, 3);
 	g_assert_cmpstr(c.row.handover, ==, "00ab12");
-	done(&to, &c, GRANT_DONE, NULL);
+	done(&to, &c, GRANT_APPLIED, NULL);
 	to.now += 2000;
 	renew_lease(&to);
 	g_assert_true(next(&to, &c));
@@ -312,13 +312,13 @@
 		g_assert_true(next(&f, &c));
 		g_assert_cmpuint(c.first, ==, i);
 		g_assert_cmpuint(c.last, ==, i);
-		done(&f, &c, i == 1 ? GRANT_FENCED : GRANT_DONE, NULL);
+		done(&f, &c, i == 1 ? GRANT_FENCED : GRANT_APPLIED, NULL);
 	}
 	f.now += 10000;
 	renew_lease(&f);
 	while (next(&f, &c)) {
 		g_assert_cmpuint(c.first, !=, 1);
-		done(&f, &c, GRANT_DONE, NULL);
+		done(&f, &c, GRANT_APPLIED, NULL);
 	}
 	f.w.fence[1] = 30;
 	g_assert_true(next(&f, &c));
@@ -345,19 +345,19 @@
 	grants_resize(&f.g, N_SHARDS, N_KEYS);
 	g_assert_true(grants_may_hold(&f.g, 7, f.now));
 	g_assert_false(next(&f, &c));
-	grant_call_heard(&f.g);
+	grant_call_heartbeat_received(&f.g);
 	own(&f, 0, 3, 10);
 	g_assert_true(next(&f, &c));
-	g_assert_cmpint(c.kind, ==, GRANT_CALL_GIVE);
+	g_assert_cmpint(c.kind, ==, GRANT_CALL_GRANT);
 	g_assert_cmpuint(c.last, ==, 3);
-	done(&f, &c, GRANT_DONE, NULL);
+	done(&f, &c, GRANT_APPLIED, NULL);
 	g_assert_true(next(&f, &c));
-	g_assert_cmpint(c.kind, ==, GRANT_CALL_TAKE_BACK);
+	g_assert_cmpint(c.kind, ==, GRANT_CALL_RELEASE);
 	g_assert_cmpuint(c.first, ==, 4);
 	g_assert_cmpuint(c.last, ==, 7);
 	g_assert_cmpint(c.row.fence, ==, 999);
 	g_assert_true(grants_may_hold(&f.g, 5, f.now));
-	done(&f, &c, GRANT_DONE, NULL);
+	done(&f, &c, GRANT_APPLIED, NULL);
 	/* The process before may have been killed with a call in doubt. */
 	g_assert_true(grants_may_hold(&f.g, 5, end - 1));
 	g_assert_false(grants_may_hold(&f.g, 5, end));
@@ -378,27 +378,27 @@
 	grants_finish(&f.g);
 	grants_init(&f.g, &grant_by_call, f.now + LEASE_MS);
 	grants_resize(&f.g, N_SHARDS, N_KEYS);
-	grant_call_heard(&f.g);
+	grant_call_heartbeat_received(&f.g);
 	own(&f, 0, 7, 10);
 	g_assert_true(next(&f, &c));
 	done(&f, &c, GRANT_IN_DOUBT, NULL);
 	g_assert_true(next(&f, &c));
-	done(&f, &c, GRANT_DONE, NULL);
+	done(&f, &c, GRANT_APPLIED, NULL);
 	own(&f, 0, 3, 0);
 	g_assert_true(next(&f, &c));
-	g_assert_cmpint(c.kind, ==, GRANT_CALL_TAKE_BACK);
-	done(&f, &c, GRANT_DONE, NULL);
+	g_assert_cmpint(c.kind, ==, GRANT_CALL_RELEASE);
+	done(&f, &c, GRANT_APPLIED, NULL);
 	g_assert_true(grants_may_hold(&f.g, 0, f.now));
 	own(&f, 4, 7, 12);
 	f.now += 1500;
 	renew_lease(&f);
 	g_assert_true(next(&f, &c));
 	g_assert_cmpint(c.row.fence, ==, 12);
-	done(&f, &c, GRANT_DONE, NULL);
+	done(&f, &c, GRANT_APPLIED, NULL);
 	own(&f, 4, 7, 0);
 	g_assert_true(next(&f, &c));
-	g_assert_cmpint(c.kind, ==, GRANT_CALL_TAKE_BACK);
-	done(&f, &c, GRANT_DONE, NULL);
+	g_assert_cmpint(c.kind, ==, GRANT_CALL_RELEASE);
+	done(&f, &c, GRANT_APPLIED, NULL);
 	g_assert_false(grants_may_hold(&f.g, 4, f.now));
 	grants_finish(&f.g);
 }
@@ -413,9 +413,10 @@
 	f.o.lease_end_ms = f.now + 60000;
 	own(&f, 0, 0, 10);
 	g_assert_true(next(&f, &c));
-	g_assert_cmpint(c.until_ms, <=,
-			f.now + grants_past_ms(&grant_by_call, 60000));
-	done(&f, &c, GRANT_DONE, NULL);
+	g_assert_cmpint(c.latest_end_ms, <=,
+			f.now + grants_prev_process_hold_ms(&grant_by_call,
+							    60000));
+	done(&f, &c, GRANT_APPLIED, NULL);
 	grants_finish(&f.g);
 }
 
@@ -434,7 +435,7 @@
 	grants_finish(&f.g);
 	grants_init(&f.g, &grant_by_call, f.now + LEASE_MS);
 	grants_resize(&f.g, N_SHARDS, N_KEYS);
-	grant_call_heard(&f.g);
+	grant_call_heartbeat_received(&f.g);
 	for (i = 0; i < N_SHARDS; i++)
 		f.w.expected[i] = true;
 	g_assert_false(next(&f, &c));
@@ -456,18 +457,18 @@
 	give_four(&f);
 	own(&f, 5, 5, 12);
 	g_assert_true(next(&f, &late));
-	grants_forget_server(&f.g);
+	grants_new_instance(&f.g);
 	own(&f, 0, 5, 0);
-	g_assert_false(grants_granted(&f.g, 0, 10, f.now));
+	g_assert_false(grants_server_holds(&f.g, 0, 10, f.now));
 	g_assert_true(grants_may_hold(&f.g, 0, f.now));
-	done(&f, &late, GRANT_DONE, NULL);
-	g_assert_false(grants_granted(&f.g, 5, 12, f.now));
+	done(&f, &late, GRANT_APPLIED, NULL);
+	g_assert_false(grants_server_holds(&f.g, 5, 12, f.now));
 	g_assert_true(grants_may_hold(&f.g, 5, f.now));
 	g_assert_true(next(&f, &c));
-	g_assert_cmpint(c.kind, ==, GRANT_CALL_TAKE_BACK);
-	done(&f, &c, GRANT_DONE, NULL);
+	g_assert_cmpint(c.kind, ==, GRANT_CALL_RELEASE);
+	done(&f, &c, GRANT_APPLIED, NULL);
 	g_assert_false(grants_may_hold(&f.g, 0, f.now));
-	g_assert_true(grants_may_hold(&f.g, 5, late.until_ms - 1));
+	g_assert_true(grants_may_hold(&f.g, 5, late.latest_end_ms - 1));
 	grants_finish(&f.g);
 }
 
@@ -489,9 +490,9 @@
 	own(&f, 5, 5, 12);
 	g_assert_true(next(&f, &c));
 	g_assert_cmpuint(c.first, ==, 5);
-	grants_server_ended(&f.g);
+	grants_server_stopped(&f.g);
 	g_assert_false(grants_may_hold(&f.g, 0, f.now));
-	g_assert_false(grants_granted(&f.g, 0, 10, f.now));
+	g_assert_false(grants_server_holds(&f.g, 0, 10, f.now));
 	g_assert_true(grants_may_hold(&f.g, 5, f.now));
 	done(&f, &c, GRANT_NOT_APPLIED, NULL);
 	g_assert_false(grants_may_hold(&f.g, 5, f.now));
@@ -509,11 +510,11 @@
 
 	give_four(&f);
 	grants_misdirected(&f.g, 2, f.now);
-	g_assert_false(grants_granted(&f.g, 2, 10, f.now));
+	g_assert_false(grants_server_holds(&f.g, 2, 10, f.now));
 	g_assert_true(grants_may_hold(&f.g, 2, f.now));
 	g_assert_true(next(&f, &c));
-	done(&f, &c, GRANT_DONE, NULL);
-	g_assert_true(grants_granted(&f.g, 2, 10, f.now));
+	done(&f, &c, GRANT_APPLIED, NULL);
+	g_assert_true(grants_server_holds(&f.g, 2, 10, f.now));
 	grants_finish(&f.g);
 }
 
@@ -534,7 +535,7 @@
 	f.now += 1900;
 	renew_lease(&f);
 	g_assert_true(next(&f, &c));
-	g_assert_cmpint(c.kind, ==, GRANT_CALL_GIVE);
+	g_assert_cmpint(c.kind, ==, GRANT_CALL_GRANT);
 	grants_finish(&f.g);
 }
 
@@ -555,8 +556,8 @@
 static GArray *named(struct fixture *f, size_t max_len, int64_t *hold_ms,
 		     uint32_t *n_rows)
 {
-	GArray *rows = grant_beat_rows(&f->g, &f->o, true, HOLD_MAX_MS, f->now,
-				       hold_ms);
+	GArray *rows = grant_heartbeat_rows(&f->g, &f->o, true, HOLD_MAX_MS,
+					    f->now, hold_ms);
 	uint32_t n_left_out;
 
 	g_assert_nonnull(rows);
@@ -585,10 +586,12 @@
 		if (held & 1 << i)
 			g_array_append_val(holds, r);
 	}
-	grant_beat_heard(&f->g, f->beat, holds, NULL, HOLD_MAX_MS, f->now);
+	grant_heartbeat_received(&f->g, f->beat, holds, NULL, HOLD_MAX_MS,
+				 f->now);
 	g_array_unref(holds);
 	rows = named(f, max_len, &hold_ms, &n_named);
-	grant_beat_given(&f->g, rows, n_named, f->beat, hold_ms, f->now);
+	grant_heartbeat_answered(&f->g, rows, n_named, f->beat, hold_ms,
+				 f->now);
 	for (i = 0; i < n_named; i++)
 		bits |= 1 << g_array_index(rows, struct grant_row, i).from *
 				     N_SHARDS / N_KEYS;
@@ -604,7 +607,7 @@
 
 	for (i = 0; i < N_SHARDS; i++)
 		if (f->w.fence[i] &&
-		    grants_granted(&f->g, i, f->w.fence[i], f->now))
+		    grants_server_holds(&f->g, i, f->w.fence[i], f->now))
 			bits |= 1 << i;
 	return bits;
 }
@@ -623,10 +626,10 @@
 	g_assert_cmphex(was, ==, 0x05);
 	g_assert_cmphex(served(&f), ==, was);
 	g_assert_false(grants_may_hold(&f.g, 6, f.now));
-	g_assert_true(grants_lacks_room(&f.g, 6));
-	g_assert_false(grants_lacks_room(&f.g, 1));
+	g_assert_true(grants_waiting_for_room(&f.g, 6));
+	g_assert_false(grants_waiting_for_room(&f.g, 1));
 	g_assert_cmphex(beat(&f, was, 4000), ==, 0x55);
-	g_assert_false(grants_lacks_room(&f.g, 6));
+	g_assert_false(grants_waiting_for_room(&f.g, 6));
 	g_assert_cmphex(served(&f), ==, 0x55);
 	grants_finish(&f.g);
 }
@@ -639,7 +642,7 @@
 
 	set_up_beats(&f);
 	g_assert_cmphex(beat(&f, 0, 4000), ==, 0x55);
-	until = f.g.shards[6].until_ms;
+	until = f.g.shards[6].may_hold_until_ms;
 	g_assert_cmphex(beat(&f, 0x55, ROOM_FOR_TWO), ==, 0x05);
 	g_assert_cmphex(served(&f), ==, 0x05);
 	g_assert_true(grants_may_hold(&f.g, 6, until - 1));
--- a/t/test-member.c
+++ b/t/test-member.c
@@ -148,10 +148,10 @@
 	uint32_t rule;
 	const char *name;
 } called_rules[] = {
-	{ GRANT_RULE_DOUBT_LASTS, "doubt-lasts" },
-	{ GRANT_RULE_SENT_IN_TIME, "sent-in-time" },
-	{ GRANT_RULE_PAST_COUNTS, "past-counts" },
-	{ GRANT_RULE_ASKED_COUNTS, "asked-counts" },
+	{ GRANT_RULE_IN_DOUBT, "doubt-lasts" },
+	{ GRANT_RULE_SEND_DEADLINE, "sent-in-time" },
+	{ GRANT_RULE_PREV_PROCESS, "past-counts" },
+	{ GRANT_RULE_IN_FLIGHT, "asked-counts" },
 };
 
 int main(int argc, char **argv)
--- a/t/test-recovery.c
+++ b/t/test-recovery.c
@@ -118,7 +118,7 @@
 
 	for (seed = 1; seed <= 10; seed++) {
 		g_assert_cmpuint(late_call(seed, 0), ==, 0);
-		without += late_call(seed, GRANT_RULE_PAST_DOUBT_LASTS);
+		without += late_call(seed, GRANT_RULE_PREV_PROCESS_IN_DOUBT);
 	}
 	g_assert_cmpuint(without, >, 0);
 }
