--- a/gate/admission.c
+++ b/gate/admission.c
@@ -6,9 +6,9 @@
 
 #define QUEUE_PER_SLOT 4
 #define MIN_RETRY_AFTER_MS 100
-/* Of the time until a request is late; the rest is for its work. */
+/* Share of the time to the target that the link may use; the rest is for work. */
 #define LINK_TARGET_SHARE 0.4
-/* Refusing an answer as short as this would not help those behind it. */
+/* Refusing shorter answers would not noticeably free the link for others. */
 #define SHORT_ANSWER_BYTES 8192.0
 
 void admission_init(struct admission *a, const struct limit_ops *limit,
@@ -34,9 +34,10 @@
 }
 
 /*
- * Whether the link is free soon enough. Long answers beyond what it carries
- * would queue there and all be late; of those refused in time most are served
- * elsewhere, or find room when they come back.
+ * Whether the link will have sent the answer early enough. If more long answers
+ * were accepted than the link can carry, they would queue there and all be
+ * late. Most requests that are refused early enough are served by another gate,
+ * or are accepted when they are retried.
  */
 static bool link_can_send_in_time(const struct admission *a,
 				  const struct queued *in, int64_t now_ms)
@@ -45,7 +46,7 @@
 
 	if (!in->remote)
 		return true;
-	/* It goes out before the long ones that are still worked on. */
+	/* Sent before the long answers that are reserved but not yet ready. */
 	if (bytes < SHORT_ANSWER_BYTES)
 		return now_ms + link_backlog_ms(&a->link, now_ms) <=
 		       in->deadline_ms;
@@ -59,13 +60,14 @@
 {
 	*victim = NULL;
 	/*
-	 * Others of the service can take this one; here it would share the
-	 * stall of those in flight, or wait until a cold server bears more.
+	 * Another gate of the service can take this request. Here it would wait
+	 * for the end of the stall, or until the rate limit of a cold start
+	 * allows one more.
 	 */
 	if (has_alternative &&
 	    (a->limit.stalled || !cold_start_allows(&a->cold_start, now_ms)))
 		return RESULT_OVERLOAD;
-	/* Late already: refused now, its caller can still go elsewhere. */
+	/* It would be late. Refused now, its caller can still try elsewhere. */
 	if (!queue_can_finish_in_time(&a->queue, now_ms, in, a->n_in_flight,
 				      a->limit.allowed))
 		return RESULT_OVERLOAD;
