--- a/gate/limit.c
+++ b/gate/limit.c
@@ -4,8 +4,8 @@
 #include "gate/limit.h"
 #include "util/counters.h"
 
-#define GROWTH_INTERVAL_MS 50 /* growth back to what was borne before */
-#define SLOW_START_MS 6000 /* from cold to all slots */
+#define GROWTH_INTERVAL_MS 50 /* between increases after a cut */
+#define SLOW_START_MS 6000 /* from the initial limit to all slots */
 #define OVERLOAD_CUT 0.5
 #define RECENT_WEIGHT 0.2
 #define BASE_DOWN_WEIGHT 0.1
@@ -33,7 +33,6 @@
 	l->allowed = l->slots;
 }
 
-/* Begin for a server with max slots. */
 void limit_init(struct limit *l, const struct limit_ops *ops, uint32_t slots,
 		int64_t now_ms)
 {
@@ -43,7 +42,6 @@
 	ops->init(l, now_ms);
 }
 
-/* Whether one more request may be started. */
 bool limit_allows(struct limit *l, uint32_t in_flight)
 {
 	uint32_t allowed = (uint32_t)l->allowed;
@@ -59,17 +57,19 @@
 				 int64_t now_ms)
 {
 	/*
-	 * All that was in flight when a server stalled comes back late
-	 * together. That is one piece of evidence, and a moment's stall by an
-	 * unseen neighbour must not cost the whole ramp.
+	 * All requests that were in flight when the backend server stalled are
+	 * answered late together. They count as one episode, so that a short
+	 * stall caused by other load on its host does not restart the slow
+	 * start.
 	 */
 	if (started_ms < l->overload_since_ms)
 		return;
 	l->overload_since_ms = now_ms;
 	l->was_reached = false;
 	/*
-	 * Slow again right after a cut, and with no good answer between: the
-	 * server has turned cold without saying so, and begins anew.
+	 * Overloaded again right after a cut, with no good answer between: the
+	 * backend server is in cold start and has not reported it, so the slow
+	 * start begins again.
 	 */
 	if (++l->overload_episodes >= SLOW_START_EPISODES &&
 	    l->allowed > LIMIT_INITIAL) {
@@ -100,9 +100,10 @@
 static void grow(struct limit *l, int64_t now_ms)
 {
 	/*
-	 * Growth by time, not by the number of answers: warming up takes its
-	 * time. A server that answered well all along is warm in the end, also
-	 * when it was never asked for all it had.
+	 * The limit rises with time, not with the number of answers, since a
+	 * backend server needs time to warm up. In slow start it rises even if
+	 * it was not reached: a backend server that answers well all along
+	 * becomes warm even without full load.
 	 */
 	if (now_ms < l->next_step_ms || (!l->was_reached && !l->slow_start))
 		return;
@@ -133,16 +134,16 @@
 	l->overload_episodes = 0;
 	if (started_ms >= l->stalled_since_ms)
 		l->awaits_good_answer = false;
-	/* Slower than usual: full enough. */
+	/* Do not raise the limit while answers are slower than usual. */
 	if (!had_baseline ||
 	    l->recent_ms <= SLOW_FACTOR * l->base_ms + SLOW_SLACK_MS)
 		grow(l, now_ms);
 }
 
 /*
- * Nothing has come back for several times the usual latency. Whether this is
- * a stall or a server gone cold cannot be told yet; either way more work now
- * would only wait there, or push it over.
+ * Detects that nothing was answered for several times the usual latency. This
+ * may be a stall or a cold start, which cannot be told apart yet. In either
+ * case more requests now would only wait at the backend server or crash it.
  */
 static void adaptive_check_stall(struct limit *l, int64_t oldest_ms,
 				 int64_t now_ms)
