--- a/gate/queue.c
+++ b/gate/queue.c
@@ -5,12 +5,11 @@
 
 #define COUNT_DECAY 0.998
 #define SMOOTHING_WEIGHT 0.1
-/* Of a class's usual time: enough for many of its requests. */
+/* Share of a class's average time in which many of its requests finish. */
 #define MIN_WORK_SHARE 0.5
-/* Of the time left to the last of a length; those that wait longer crowd it. */
+/* Share of the time left until the last is due: a longer wait is congestion. */
 #define CONGESTED_SHARE 0.25
 
-/* Set up an empty queue of at most max requests. */
 void queue_init(struct queue *q, uint32_t max)
 {
 	memset(q, 0, sizeof(*q));
@@ -18,7 +17,6 @@
 	q->max = max;
 }
 
-/* Release the queue; the requests stay the caller's. */
 void queue_finish(struct queue *q)
 {
 	g_ptr_array_unref(q->heap);
@@ -66,9 +64,10 @@
 }
 
 /*
- * Shortest first: when not all can be served, most are, and a call that a
- * request at another server waits for, which is short, is not refused for the
- * time of long ones. Those of one length by when they are due.
+ * Heap order: least expected work first. When not all requests can be served,
+ * this serves the most of them. It also keeps a short call that a request at
+ * another backend server waits for from being refused in favour of long
+ * requests. Requests with the same work_log2 are ordered by due_ms.
  */
 static bool is_before(const struct queued *a, const struct queued *b)
 {
@@ -125,7 +124,7 @@
 	return e;
 }
 
-/* How far a class is from refusing more than its target allows. */
+/* How far the refused share of a class is below its target. */
 static double refusal_headroom(const struct queue *q, uint32_t class_index)
 {
 	const struct class_load *c;
@@ -138,10 +137,10 @@
 }
 
 /*
- * What should be refused when something must: of the class with the most
- * headroom, and of that what would be begun last. Where operators have set no
- * class a target for refusals, headroom would only share them out evenly, and
- * refuse as many of the short as of the long ones.
+ * Picks the request to refuse: of the class with the most headroom, the one
+ * that would start last. If the operators have set no class a target for
+ * refusals, headroom is ignored: it would only spread refusals evenly over the
+ * classes and refuse as many short requests as long ones.
  */
 static uint32_t pick_victim(const struct queue *q)
 {
@@ -169,7 +168,7 @@
 	return q->service_ms;
 }
 
-/* Within a factor of two is one length: what is usual moves all the time. */
+/* Requests within a factor of two rank equal, since the averages keep moving. */
 static void set_expected_work(const struct queue *q, struct queued *e)
 {
 	e->work_ms = class_service_ms(q, e->class_index);
@@ -177,11 +176,11 @@
 }
 
 /*
- * Whether so many of one length wait that their order decides how many are in
- * time. Begun by who is due first, each would wait until it is nearly late, and
- * be late as soon as its work takes longer than usual. So of a crowd the one
- * with the most time left is next; those that this overtakes are refused once
- * they cannot be in time.
+ * Whether so many requests of one work_log2 are queued that their order decides
+ * how many finish in time. If the one due first always started first, each
+ * would wait until it is nearly late, and would be late as soon as its work
+ * takes longer than usual. So under congestion the one with the most time left
+ * starts first, and the others are refused once they cannot finish in time.
  */
 static bool is_congested(const struct queue *q, int32_t work_log2,
 			 int64_t now_ms, double slots)
@@ -203,7 +202,7 @@
 	       (last_due_ms - now_ms) * CONGESTED_SHARE;
 }
 
-/* Whether one that waits goes before another that does. */
+/* Whether queued request a starts before queued request b. */
 static bool starts_before(const struct queued *a, const struct queued *b,
 			  bool congested)
 {
@@ -213,8 +212,9 @@
 }
 
 /*
- * How long until all that goes before a request has been begun. One that comes
- * only now counts all of its length: more will come, and go before it.
+ * Expected wait until a request can start. A new request (is_queued false)
+ * counts all queued requests of its work_log2 as ahead of it, since requests
+ * that arrive later may start before it.
  */
 static double expected_wait_ms(const struct queue *q, const struct queued *in,
 			       bool is_queued, int64_t now_ms,
@@ -237,7 +237,7 @@
 	return (work_ms + q->service_ms) / MAX(slots, 1.0);
 }
 
-/* in has its size by now; it waits in the queue, or comes only now. */
+/* in: a queued or a new request, after set_expected_work(). */
 static bool can_finish_in_time(const struct queue *q, int64_t now_ms,
 			       const struct queued *in, bool is_queued,
 			       uint32_t n_in_flight, double slots)
@@ -249,10 +249,10 @@
 	if (done_ms > in->deadline_ms)
 		return false;
 	/*
-	 * A queue that lasts beyond the target serves as many as a short one,
-	 * all of them late. So what would have to wait into lateness is
-	 * refused while it can still go elsewhere or come back; what finds a
-	 * slot free is served late rather than not at all.
+	 * A queue longer than the target serves as many requests as a short
+	 * one, but all of them late. So a request that would be late by waiting
+	 * is refused while its caller can still try elsewhere or retry. A
+	 * request that finds a free slot is served late rather than refused.
 	 */
 	return wait <= 0 || done_ms <= in->due_ms;
 }
@@ -337,7 +337,7 @@
 	uint32_t best = q->heap->len;
 	uint32_t i;
 
-	/* The foremost, since those behind it may be in time without it. */
+	/* The first in order, since those behind it may be in time without it. */
 	for (i = 0; i < q->heap->len; i++)
 		if (!can_finish_in_time(q, now_ms, entry_at(q, i), true,
 					n_in_flight, slots) &&
