--- a/gate/cold.c
+++ b/gate/cold.c
@@ -5,11 +5,11 @@
 
 #define WINDOW_MS 1000
 /*
- * A request sent at the end of one second may arrive in the next, beside those
- * sent there: a tenth is kept back for that.
+ * A request sent at the end of one second may arrive in the next one, together
+ * with the requests sent in that second, so a tenth of the rate is not used.
  */
 #define RATE_SHARE_USED 0.9
-/* A rate so low that it rounds to none must still let the server warm up. */
+/* A rate that rounds down to 0 would keep the backend server from warming up. */
 #define MIN_PER_WINDOW 1.0
 
 void cold_start_init(struct cold_start *c, int64_t now_ms)
@@ -47,7 +47,7 @@
 	if (!cold_start_is_active(c, now_ms) ||
 	    c->per_s <= COLD_START_UNLIMITED || n >= COLD_START_MAX_SENT)
 		return true;
-	/* The n-th last sending must lie a whole window back. */
+	/* The n-th last request must have been sent a whole window ago. */
 	at = (c->next + COLD_START_MAX_SENT - n) % COLD_START_MAX_SENT;
 	return now_ms - c->sent_ms[at] >= WINDOW_MS;
 }
--- a/gate/cold.h
+++ b/gate/cold.h
@@ -5,47 +5,50 @@
 #include <stdint.h>
 
 /*
- * How many requests a backend server in cold start may be sent in any second.
- * A server just started is slow, and one that gets its full load then crashes.
- * Only the gate beside it sends to it, so the gate's own count is the whole
- * truth, but for what a process before this one sent. Times are passed in.
+ * Rate limit for requests to a backend server in cold start. A backend server
+ * that has just started is slow, and crashes if it gets its full load then.
+ * Only the gate on its host sends requests to it, so this count is complete,
+ * except for requests that a previous process sent. Times are passed in.
  */
 
-/* Sendings remembered; a second of more than that needs no limit of ours. */
+/* Send times kept. A rate of this many per second or more is not limited. */
 #define COLD_START_MAX_SENT 1024
 
 #define COLD_START_UNLIMITED 0.0
 /*
- * While no configuration tells what a cold server bears. A node and its server
- * that start together hear of each other before either reads anything, and
- * callers are sent there at once.
+ * The rate until a configuration sets it. A node and a backend server that
+ * start together exchange heartbeats before either has read any configuration,
+ * and requests are routed to them at once.
  */
 #define COLD_START_DEFAULT_PER_S 5.0
 
 struct cold_start {
-	int64_t until_ms; /* cold before, 0 when warm */
-	double per_s; /* requests a second that it bears, COLD_START_UNLIMITED:
-			 any */
-	int64_t sent_ms[COLD_START_MAX_SENT]; /* a ring of the last sendings */
-	uint32_t next;
+	int64_t until_ms; /* end of the cold start, 0 if warm */
+	double per_s; /* allowed rate, or COLD_START_UNLIMITED */
+	int64_t sent_ms[COLD_START_MAX_SENT]; /* ring buffer */
+	uint32_t next; /* index in sent_ms to write next */
 };
 
 /*
- * Begin. What a process before this one sent in the last second is unknown, so
- * the first second counts as used up.
+ * Sets up the limit at COLD_START_DEFAULT_PER_S. What a previous process sent
+ * in the last second is unknown, so the first second counts as used up.
  */
 void cold_start_init(struct cold_start *c, int64_t now_ms);
 
-/* The server says that it stays cold for left_ms more; 0 that it is warm. */
+/* The cold start lasts for left_ms from now; 0: the backend server is warm. */
 void cold_start_set_remaining(struct cold_start *c, int64_t left_ms,
 			      int64_t now_ms);
 
-/* The configuration says what it bears. */
+/* Sets the allowed rate in requests per second, or COLD_START_UNLIMITED. */
 void cold_start_set_rate(struct cold_start *c, double per_s);
+
+/* Whether the backend server is in cold start. */
 bool cold_start_is_active(const struct cold_start *c, int64_t now_ms);
 
-/* Whether one more request may be sent now. */
+/* Whether the rate allows one more request now; true if not in cold start. */
 bool cold_start_allows(const struct cold_start *c, int64_t now_ms);
+
+/* Counts a request that was sent. */
 void cold_start_record_send(struct cold_start *c, int64_t now_ms);
 
 #endif
--- a/gate/link.c
+++ b/gate/link.c
@@ -3,7 +3,7 @@
 #include "gate/link.h"
 
 #define BYTES_PER_MS_PER_MBPS 125.0
-/* The rest goes for what else the host sends, and for the headers of packets. */
+/* The rest is for packet headers and for other traffic of the host. */
 #define USABLE_SHARE 0.9
 
 void link_init(struct link *l, double mbps)
