--- a/gate/delay.c
+++ b/gate/delay.c
@@ -2,7 +2,7 @@
 
 #include "gate/delay.h"
 
-/* Two clocks that drift by 100 ppm are 1 ms further apart after it. */
+/* Two clocks that drift apart by 100 ppm differ by 1 ms more after this time. */
 #define WINDOW_MS 10000
 
 void delay_init(struct delay *d, int64_t sent_ms, int64_t arrived_ms)
--- a/gate/delay.h
+++ b/gate/delay.h
@@ -4,22 +4,26 @@
 #include <stdint.h>
 
 /*
- * How long messages from one sender were on their way. The clocks of two hosts
- * differ by an unknown amount and drift apart: the least difference between
- * sending and arrival within the last while is that amount and the fastest
- * way, and what is beyond it is delay. No clock; the times are passed in.
+ * Estimates the delay of messages from one sender. The clocks of two hosts
+ * differ by an unknown offset and drift apart. The smallest difference between
+ * arrival time and send time over the current and the previous time window is
+ * that offset plus the shortest transit time; what a message takes beyond that
+ * is its delay. Reads no clock; the times are passed in.
  */
 
 struct delay {
-	int64_t min_offset_ms; /* of this span */
-	int64_t prev_min_offset_ms; /* of the one before */
-	int64_t window_start_ms; /* when this span began */
+	int64_t min_offset_ms; /* least arrival - send in this window */
+	int64_t prev_min_offset_ms; /* the same in the window before */
+	int64_t window_start_ms;
 };
 
-/* Begin with a first message. */
+/* Starts with a first message, whose delay counts as 0. */
 void delay_init(struct delay *d, int64_t sent_ms, int64_t arrived_ms);
 
-/* Milliseconds that a message took beyond the fastest of late; 0 or more. */
+/*
+ * Takes in a message and returns its delay: milliseconds beyond the fastest
+ * message of this window and the one before, 0 or more.
+ */
 int64_t delay_update(struct delay *d, int64_t sent_ms, int64_t arrived_ms);
 
 #endif
--- a/gate/life.c
+++ b/gate/life.c
@@ -4,9 +4,10 @@
 #include "gate/life.h"
 
 /*
- * The clock of day may have stepped back before a server started again, which
- * then looks older than the life before. Once that one has been silent for
- * longer than any heartbeat is late, it is believed all the same.
+ * If the wall clock was set back before the backend server restarted, the new
+ * instance looks older than the previous one. It is accepted all the same once
+ * the previous one has sent no heartbeat for longer than any heartbeat can be
+ * delayed.
  */
 #define SILENCE_TIMEOUT_MS 5000
 
--- a/gate/life.h
+++ b/gate/life.h
@@ -5,26 +5,31 @@
 #include <stdint.h>
 
 /*
- * Which life of the backend server a heartbeat is from. A server may start
- * again at the same address, under the same id even, while heartbeats of its
- * life before are still on their way: what these say is over.
+ * Tells which instance of the backend server a heartbeat is from. A backend
+ * server may restart at the same address, even under the same id, while
+ * heartbeats of its previous instance are still in flight. Those are out of
+ * date and must be ignored.
  */
 
 #define INSTANCE_ID_MAX_LEN 39
 
 struct server_instance {
-	char id[INSTANCE_ID_MAX_LEN + 1]; /* "" none known */
-	int64_t started_ms; /* by the server host's clock of day */
-	int64_t heartbeat_number; /* of its last heartbeat */
-	int64_t heard_at_ms; /* our clock */
+	char id[INSTANCE_ID_MAX_LEN + 1]; /* "" if none is known */
+	int64_t started_ms; /* wall clock of the backend server's host */
+	int64_t heartbeat_number; /* of the last one taken in */
+	int64_t heard_at_ms; /* last heartbeat taken in, by this node's clock */
 };
 
 enum instance_check {
-	INSTANCE_NEW, /* a life not seen before by this process */
-	INSTANCE_CURRENT, /* the one known, with news */
-	INSTANCE_STALE, /* an older life, or an older word of this one */
+	INSTANCE_NEW, /* an instance that this process has not seen before */
+	INSTANCE_CURRENT, /* the known instance, with a newer heartbeat */
+	INSTANCE_STALE, /* an older instance, or an older heartbeat */
 };
 
+/*
+ * Takes in heartbeat number of the instance id that started at started_ms (Unix
+ * time of its host). A stale heartbeat changes nothing.
+ */
 enum instance_check instance_on_heartbeat(struct server_instance *s,
 					  const char *id, int64_t started_ms,
 					  int64_t number, int64_t now_ms);
