--- a/gate/ids.c
+++ b/gate/ids.c
@@ -18,7 +18,6 @@
 	g_free(e);
 }
 
-/* Set up an empty table of at most max ids. */
 void ids_init(struct ids *t, uint32_t max)
 {
 	t->by_hash = g_hash_table_new(g_int64_hash, g_int64_equal);
@@ -27,7 +26,6 @@
 	t->bytes = 0;
 }
 
-/* Release the table. */
 void ids_finish(struct ids *t)
 {
 	g_hash_table_unref(t->by_hash);
@@ -73,7 +71,7 @@
 	struct seen_id *e;
 
 	evict_expired(t, now_ms);
-	/* Dropping the oldest instead would let a resent id run twice. */
+	/* Evicting the oldest entry instead would let a retried id run twice. */
 	if (g_hash_table_size(t->by_hash) >= t->max)
 		return NULL;
 	ids_forget(t, hash);
@@ -133,7 +131,6 @@
 	}
 }
 
-/* Take over an entry; its window goes on where it stood. */
 void ids_import(struct ids *t, const int64_t *entry, int64_t now_ms)
 {
 	uint64_t hash = entry[1];
@@ -148,7 +145,6 @@
 	e->status = entry[3] >> STATE_BITS;
 }
 
-/* Hash of an id in its class and under its key. */
 uint64_t ids_hash(const char *class_name, const char *key, const char *id)
 {
 	g_autofree char *s = g_strdup_printf("%s\n%s\n%s", class_name, key, id);
--- a/gate/ids.h
+++ b/gate/ids.h
@@ -6,15 +6,16 @@
 #include <glib.h>
 
 /*
- * The idempotency keys that a gate has seen, so that a request sent again
- * does not run again. Bounded: an entry lives as long as callers may send it
- * again, and when there is no room a new request is refused, not forgotten.
+ * Table of the idempotency keys (ids) that a gate has seen, so that a retried
+ * request does not run twice. Its size is bounded: an entry is kept for as long
+ * as callers may retry the request, and when the table is full a new request is
+ * refused rather than run without an entry.
  */
 
 enum seen_state {
 	SEEN_RUNNING,
-	SEEN_ANSWERED, /* ran; the answer may be kept */
-	SEEN_UNKNOWN, /* handed over, and no whole answer came */
+	SEEN_ANSWERED, /* ran; the answer is kept unless too large */
+	SEEN_UNKNOWN, /* sent to the backend server, no complete answer */
 };
 
 struct seen_id {
@@ -22,9 +23,9 @@
 	uint32_t shard;
 	enum seen_state state;
 	int64_t begun_at_ms;
-	int64_t window_ms;
+	int64_t window_ms; /* how long callers may retry */
 	uint32_t status;
-	GBytes *answer; /* NULL when it was too large to keep */
+	GBytes *answer; /* NULL if not kept */
 	char *content_type;
 };
 
@@ -32,37 +33,47 @@
 	GHashTable *by_hash; /* uint64_t -> struct seen_id */
 	GQueue *order; /* oldest first */
 	uint32_t max;
-	uint64_t bytes;
+	uint64_t bytes; /* of all answers kept */
 };
 
+/* Sets up an empty table of at most max ids. */
 void ids_init(struct ids *t, uint32_t max);
+
+/* Releases the table. */
 void ids_finish(struct ids *t);
 
-/* The entry for an id, NULL when it was not seen within its window. */
+/* Returns the entry of an id, or NULL if it was not seen within its window. */
 struct seen_id *ids_find(struct ids *t, uint64_t hash, int64_t now_ms);
 
-/* Note that an id is about to run; NULL when there is no room. */
+/* Adds an id that is about to run. Returns NULL if the table is full. */
 struct seen_id *ids_begin(struct ids *t, uint64_t hash, uint32_t shard,
 			  int64_t window_ms, int64_t now_ms);
 
-/* Note how it ended. body may be NULL when it is too large to keep. */
+/* Sets the outcome of an id. body is NULL if there is no answer to keep. */
 void ids_end(struct ids *t, uint64_t hash, enum seen_state state,
 	     uint32_t status, const char *content_type, const void *body,
 	     size_t len);
 
-/* Forget an id that was never handed to the backend server. */
+/* Removes an id that was never sent to the backend server. */
 void ids_forget(struct ids *t, uint64_t hash);
 
-/* Entries of a shard as four numbers each, for its next owner. */
+/*
+ * Appends the entries of a shard to out, for its next owner: four numbers each
+ * (shard, hash, milliseconds left of the window, state and HTTP status).
+ * Answers are not included. A running request becomes SEEN_UNKNOWN.
+ */
 void ids_export(const struct ids *t, uint32_t shard, int64_t now_ms,
 		GArray *out);
+
+/* Adds an exported entry. Its window keeps the time it had left. */
 void ids_import(struct ids *t, const int64_t *entry, int64_t now_ms);
 
+/* Hash of an id within its class and key; never 0. */
 uint64_t ids_hash(const char *class_name, const char *key, const char *id);
 
 /*
- * When an id was made, in milliseconds of Unix time, or -1 when it does not
- * say. A version 7 UUID (RFC 9562) does.
+ * The time at which an id was created, in milliseconds of Unix time, or -1 if
+ * the id does not hold one. A version 7 UUID (RFC 9562) does.
  */
 int64_t ids_created_ms(const char *id);
 
