--- a/gate/grant-owner.h
+++ b/gate/grant-owner.h
@@ -6,12 +6,16 @@
 
 #include "member/member.h"
 
-/* What a node may grant at a moment, by its lease and the log. */
+/* Which shards a node may grant at this moment, by its lease and the log. */
 
 struct grant_owner_ops {
-	/* Whether a shard is served while the lease lasts; under which fence. */
+	/* Whether the node may serve a shard during the lease; sets *fence. */
 	bool (*serves)(const void *user, uint32_t shard, int64_t *fence);
-	/* Whether it is ours by the log, or is about to be again. */
+	/*
+	 * Whether the log assigns a shard to this node, or to the previous
+	 * process beside the same backend server, which this node is about to
+	 * replace.
+	 */
 	bool (*expects)(const void *user, uint32_t shard);
 };
 
@@ -19,11 +23,11 @@
 	const struct grant_owner_ops *ops;
 	const void *user;
 	int64_t lease_end_ms;
-	int64_t newest_fence; /* above all that we know of */
-	bool is_caught_up; /* the state has been level with the log once */
+	int64_t newest_fence; /* above every fence that this node knows of */
+	bool is_caught_up; /* the state has reached the end of the log once */
 };
 
-/* Fill o from a member, for this moment. */
+/* Sets o from the present state of a member. o keeps a pointer to m. */
 void grant_owner_from(struct grant_owner *o, const struct member_node *m);
 
 #endif
--- a/gate/grants.c
+++ b/gate/grants.c
@@ -2,9 +2,9 @@
 
 #include "gate/grants.h"
 
-/* Where an entry of a seen id has the time it is still kept, never below 0. */
+/* Third number of an entry; in those of ids_export() it is always positive. */
 #define HANDOVER_MARK (-2)
-/* Handovers are hexadecimal numbers of up to this many digits. */
+/* A handover is a hexadecimal number of at most this many digits. */
 #define HANDOVER_DIGITS 16
 
 const struct grant_ops *grant_ops_by_name(const char *name)
@@ -132,9 +132,14 @@
 		return;
 	v[1] = (int64_t)g_ascii_strtoull(token, &end, 16);
 	v[3] = (int64_t)strlen(token);
-	/* Any other would come out changed, and is worth less than none. */
+	/*
+	 * Any other handover would be altered by the conversion to a number,
+	 * which is worse than none.
+	 */
 	if (*end || !v[1] || v[3] > HANDOVER_DIGITS)
-		g_warning("handover of shard %u is no number", shard);
+		g_warning("handover of shard %u dropped: not a nonzero 64-bit "
+			  "hexadecimal number",
+			  shard);
 	else
 		g_array_append_vals(out, v, GRANTS_ENTRY_LEN);
 }
--- a/gate/grants.h
+++ b/gate/grants.h
@@ -6,161 +6,202 @@
 #include <glib.h>
 
 /*
- * What a backend server that checks grants has been given to hold. A shard may
- * go to another server only when this one is known not to hold it, so for each
- * shard this keeps the latest moment until which it may. How the server is told
- * differs from one kind of server to another: a table of functions, chosen by
- * the settings. Times are the node's own clock, passed in.
+ * Grants: which shards a backend server that checks grants may hold, and until
+ * when. A shard may be granted to another backend server only when this one is
+ * known not to hold it, so for each shard this keeps the latest time until
+ * which it may be held. Backend servers receive grants in one of two ways, each
+ * with a table of functions that the settings select. Times are by the clock of
+ * this node and are passed in.
  */
 
 #define HANDOVER_MAX_LEN 63
 
-/* A backend server's clock may run 2% slow (the platform's own bound). */
+/* A backend server's clock may run 2% slow, the bound that the platform gives. */
 #define GRANT_CLOCK_DRIFT_FACTOR 1.02
-/* The way of what grants, and the rounding of two millisecond clocks. */
+/* Allows for the transit time of a grant and the rounding of two ms clocks. */
 #define GRANT_MARGIN_MS 20
 
-/* Keys [from, to] as a backend server names them. */
+/* Keys [from, to], numbered as at the backend server. */
 struct grant_row {
 	int64_t from;
 	int64_t to;
 	int64_t fence;
-	char handover[HANDOVER_MAX_LEN + 1]; /* "" none */
+	char handover[HANDOVER_MAX_LEN + 1]; /* "" if none */
 };
 
 enum grant_state {
-	GRANT_FREE, /* no answered grant is left */
-	GRANT_HELD, /* a call that the server answered gave it */
-	GRANT_UNKNOWN, /* it may have been given before we knew the server */
+	GRANT_FREE, /* no acknowledged grant is in force */
+	GRANT_HELD, /* granted by a call that the server acknowledged */
+	/* Maybe granted by a previous process, or to a previous instance. */
+	GRANT_UNKNOWN,
 };
 
 struct grant {
-	int64_t fence; /* of the last grant by this process, 0 none */
-	int64_t may_hold_until_ms; /* the server may hold the shard until then */
-	/* By call only: */
+	/* Of the last grant by this process, 0 if none. */
+	int64_t fence;
+	/* The backend server may hold the shard until then. */
+	int64_t may_hold_until_ms;
+
+	/* Grants by call only: */
+
 	enum grant_state state;
-	int64_t holds_until_ms; /* the server surely holds it until then */
-	int64_t in_doubt_until_ms; /* a call without an answer may hold so long */
-	int64_t in_doubt_fence; /* the highest of such calls, 0 another
-				   process's */
-	int64_t retry_at_ms; /* no call before then */
-	int64_t rejected_fence; /* the server has seen a higher fence than this */
-	bool call_in_flight; /* part of a call on its way */
-	bool single_shard_calls; /* a run that it was part of was refused: call
-				    by call */
-	/* By heartbeat only: */
-	int64_t heartbeat_number; /* number of the heartbeat whose answer
-				     granted it */
-	bool confirmed; /* reported as held under this fence since */
-	bool reported_held; /* reported as held, under any, in the last
-			       heartbeat */
-	bool omitted; /* of the last answer that named rows */
-	int64_t waiting_since_ms; /* ours, without room in an answer since, 0
-				     none */
-	char *handover_in; /* from the last holder, to go with the grant */
-	char *handover_out; /* from our server when it let go */
+	/* The backend server holds the shard at least until then. */
+	int64_t holds_until_ms;
+	/* It may hold the shard until then by a call without an answer. */
+	int64_t in_doubt_until_ms;
+	/* The highest fence of such calls, 0 for those of another process. */
+	int64_t in_doubt_fence;
+	/* No new call for this shard before then. */
+	int64_t retry_at_ms;
+	/* The backend server has seen a higher fence than this one. */
+	int64_t rejected_fence;
+	/* A call for this shard is in flight. */
+	bool call_in_flight;
+	/* A range with this shard was refused: grant it in a call of its own. */
+	bool single_shard_calls;
+
+	/* Grants by heartbeat only: */
+
+	/* The heartbeat whose answer granted the shard. */
+	int64_t heartbeat_number;
+	/* A heartbeat after the grant reported the shard under this fence. */
+	bool confirmed;
+	/* The last heartbeat reported the shard as held, under any fence. */
+	bool reported_held;
+	/* The last answer that named rows did not name this shard. */
+	bool omitted;
+	/* Since when answers have had no room for this shard of ours, or 0. */
+	int64_t waiting_since_ms;
+
+	/* Handover from the previous holder, to be sent with the grant. */
+	char *handover_in;
+	/* Handover that our backend server gave when it released the shard. */
+	char *handover_out;
 };
 
 struct grants;
 
-/* A way of telling a backend server what it is to hold. */
+/* A way of sending grants to a backend server. */
 struct grant_ops {
 	const char *name;
-	/* How long a grant of a process that has ended may last, at most. */
+	/*
+	 * The longest that a grant of a previous process can last after the end
+	 * of that process, in milliseconds.
+	 */
 	int64_t (*prev_process_hold_ms)(int64_t lease_ms);
-	/* The configuration has told how many shards there are. */
+	/* The number of shards was set or changed by the configuration. */
 	void (*on_resize)(struct grants *g);
-	/* A life of the server that this process has not heard of before. */
+	/* The backend server has an instance that this process had not seen. */
 	void (*on_new_instance)(struct grants *g);
-	/* The server has ended: it holds nothing. */
+	/* The backend server has stopped, so it holds nothing. */
 	void (*on_server_stopped)(struct grants *g);
-	/* The server turned a request away: it does not hold the shard. */
+	/* The backend server refused a request as it does not hold the shard. */
 	void (*on_misdirected)(struct grants *g, uint32_t shard,
 			       int64_t now_ms);
-	/* Whether the server may hold a shard, by any grant ever given. */
+	/* Whether the backend server may hold a shard, by any earlier grant. */
 	bool (*may_hold)(const struct grants *g, uint32_t shard,
 			 int64_t now_ms);
-	/* Whether the server holds a shard that is ours under fence. */
+	/* Whether the backend server holds a shard of ours under fence. */
 	bool (*server_holds)(const struct grants *g, uint32_t shard,
 			     int64_t fence, int64_t now_ms);
 };
 
-/* By the answers to its heartbeats: gate/grant-beat.h. */
+/* In the answers to heartbeats: gate/grant-beat.h. */
 extern const struct grant_ops grant_by_heartbeat;
 
-/* By calls to it: gate/grant-call.h. */
+/* By calls to the backend server: gate/grant-call.h. */
 extern const struct grant_ops grant_by_call;
 
-/* The way of that name, or NULL. */
+/* Returns the table of that name, or NULL. */
 const struct grant_ops *grant_ops_by_name(const char *name);
 
 struct grants {
-	const struct grant_ops *ops; /* NULL: the server checks no grants */
+	/* NULL if the backend server checks no grants. */
+	const struct grant_ops *ops;
 	struct grant *shards;
 	uint32_t n_shards;
 	uint32_t n_keys;
-	bool heartbeat_seen; /* a heartbeat has told what the server holds */
-	int64_t prev_process_until_ms; /* what was granted before us has ended
-					  then */
-	uint32_t n_instances; /* of the server, seen by this process */
-	uint32_t disabled_rules; /* tests only, enum grant_rule */
+	/* A heartbeat arrived; grants by heartbeat: and n_shards was set. */
+	bool heartbeat_seen;
+	/* By then all grants of a previous process have ended. */
+	int64_t prev_process_until_ms;
+	/* Backend server instances that this process has seen. */
+	uint32_t n_instances;
+	/* For tests: bits of enum grant_rule. */
+	uint32_t disabled_rules;
 };
 
 /*
- * ops: NULL when the backend server checks no grants. What a process before
- * this one granted has ended by prev_process_until_ms.
+ * ops: NULL if the backend server checks no grants. The grants of a previous
+ * process have ended by prev_process_until_ms.
  */
 void grants_init(struct grants *g, const struct grant_ops *ops,
 		 int64_t prev_process_until_ms);
 
-/* For how long after its start a process counts the grants of one before. */
+/*
+ * For how many milliseconds after its start a process must assume that grants
+ * of a previous process are in force.
+ */
 int64_t grants_prev_process_hold_ms(const struct grant_ops *ops,
 				    int64_t lease_ms);
+
+/* Releases all shards. */
 void grants_finish(struct grants *g);
 
-/* Follow the configuration; a change of shape forgets everything. */
+/*
+ * Sets the number of shards and keys from the configuration. If either changes,
+ * the state of all shards is reset.
+ */
 void grants_resize(struct grants *g, uint32_t n_shards, uint32_t n_keys);
 
-/* The backend server says that it does not hold a shard of ours. */
+/* The backend server refused a request as it does not hold this shard. */
 void grants_misdirected(struct grants *g, uint32_t shard, int64_t now_ms);
 
-/* The backend server has ended, and its holds with it. */
+/* The backend server has stopped, so it holds nothing. */
 void grants_server_stopped(struct grants *g);
 
-/* Another life of the backend server. */
+/* The backend server has an instance that this process had not seen. */
 void grants_new_instance(struct grants *g);
 
-/* Whether the server may hold a shard, by any grant it was ever given. */
+/* Whether the backend server may hold a shard, by any earlier grant. */
 bool grants_may_hold(const struct grants *g, uint32_t shard, int64_t now_ms);
 
 /*
- * Whether the server holds a shard that is ours under fence: granted so, or
- * still held by a grant of the process before this one.
+ * Whether the backend server holds a shard that this node owns under fence, by
+ * a grant of this process or, with grants by heartbeat, of a previous one.
  */
 bool grants_server_holds(const struct grants *g, uint32_t shard, int64_t fence,
 			 int64_t now_ms);
 
-/* Whether a shard is ours and the last answer had no room for it. */
+/* Whether this node owns a shard and the last answer had no room for it. */
 bool grants_waiting_for_room(const struct grants *g, uint32_t shard);
 
-/* The keys of a shard, as the backend server counts them. */
+/* First and last key of a shard, numbered as at the backend server. */
 int64_t grants_first_key(const struct grants *g, uint32_t shard);
 int64_t grants_last_key(const struct grants *g, uint32_t shard);
 
-/* Forget all that is known of a shard. */
+/* Resets all state of a shard. */
 void grant_clear(struct grant *s);
 
-/* The longest hold_ms after which a slow server clock ends before end_ms. */
+/*
+ * The longest duration, at most max_ms, that has ended by end_ms even if the
+ * clock of the backend server runs slow. Negative if end_ms is too close.
+ */
 int64_t grants_hold_ms(int64_t end_ms, int64_t max_ms, int64_t now_ms);
 
 /*
- * The handover that our server gave for a shard, for its next owner: added to
- * out as numbers, GRANTS_ENTRY_LEN an entry, among those of seen ids.
+ * Appends the handover that the backend server gave for a shard to out, for the
+ * next owner of the shard: GRANTS_ENTRY_LEN numbers (shard, handover, a mark
+ * that tells it from the entries of ids_export(), number of digits). Appends
+ * nothing if there is no handover.
  */
 #define GRANTS_ENTRY_LEN 4
 void grants_export(const struct grants *g, uint32_t shard, GArray *out);
 
-/* Take such an entry; false when it is not one. */
+/*
+ * Takes in an entry of grants_export(). Returns false if the entry is of
+ * another kind.
+ */
 bool grants_import(struct grants *g, const int64_t *entry);
 
 #endif
