--- a/gate/grant-beat.c
+++ b/gate/grant-beat.c
@@ -2,10 +2,10 @@
 
 #include "gate/grant-beat.h"
 
-/* A grant shorter than this ends before the next heartbeat can renew it. */
+/* A shorter grant would end before the next heartbeat can renew it. */
 #define MIN_HOLD_MS 300
 
-/* The index in rows of the one that has keys of [from, to], -1 none. */
+/* Index of the first row that overlaps [from, to], or -1. */
 static int find_row(const GArray *rows, int64_t from, int64_t to)
 {
 	uint32_t i;
@@ -29,9 +29,9 @@
 			  int64_t hold_max_ms, int64_t now_ms)
 {
 	/*
-	 * Held by a grant of a process before this one, whose end is unknown.
-	 * Taken for free, the shard would go to another server while this one
-	 * still serves it.
+	 * Held by a grant of a previous process, whose end is unknown. If the
+	 * shard counted as free, it would be granted to another backend server
+	 * while this one still serves it.
 	 */
 	if (!s->fence)
 		s->may_hold_until_ms =
@@ -44,7 +44,7 @@
 
 static void mark_not_reported(struct grant *s, int64_t heartbeat)
 {
-	/* Granted in the answer to this very heartbeat or one still unheard. */
+	/* This heartbeat cannot report a grant in its own or a later answer. */
 	if (heartbeat <= s->heartbeat_number)
 		return;
 	s->may_hold_until_ms = 0;
@@ -106,7 +106,10 @@
 	return now_ms < g->shards[shard].may_hold_until_ms;
 }
 
-/* Granted so, or still held by a grant of the process before this one. */
+/*
+ * Whether the backend server holds a shard by a grant of this process under
+ * fence, or still holds it by a grant of a previous process.
+ */
 static bool server_holds(const struct grants *g, uint32_t shard, int64_t fence,
 			 int64_t now_ms)
 {
@@ -130,11 +133,11 @@
 	.server_holds = server_holds,
 };
 
-/* A row of an answer and how much it needs to be in it. */
+/* A row of an answer, and what decides its place in the answer. */
 struct ranked_row {
 	struct grant_row row;
-	bool held;
-	int64_t waiting_since_ms; /* INT64_MAX: it does not */
+	bool held; /* some shard of it is reported as held */
+	int64_t waiting_since_ms; /* INT64_MAX: not waiting */
 };
 
 static struct ranked_row make_ranked_row(const struct grants *g, uint32_t shard,
@@ -157,7 +160,7 @@
 	return n;
 }
 
-/* Add a row, joined to the last one where they fit together. */
+/* Adds a row. Merges it with the last one if they are adjacent and alike. */
 static void append_or_merge_row(GArray *ranked, const struct ranked_row *n)
 {
 	struct ranked_row *last =
@@ -178,8 +181,8 @@
 }
 
 /*
- * What the server holds comes first, for left out it would be let go; then what
- * has waited longest.
+ * Rows that the backend server holds come first, since it releases what an
+ * answer omits. Then follow those that have waited longest.
  */
 static int compare_rank(gconstpointer a, gconstpointer b)
 {
@@ -194,9 +197,11 @@
 }
 
 /*
- * Whether the server holds something that is ours by the log and not yet free
- * of others. Left out of an answer it would let that go, and renewed it may
- * have two holders; so for a moment nothing is said of any row.
+ * Whether the backend server holds a shard that the log assigns to this node
+ * but that this node may not serve yet, since another may still be serving it.
+ * If an answer omits such a shard, the backend server releases it; if an answer
+ * renews it, the shard may have two holders. So until this is settled, answers
+ * name no rows at all.
  */
 static bool holds_undecided_shard(const struct grants *g,
 				  const struct grant_owner *o)
@@ -255,7 +260,7 @@
 		    now_ms + (int64_t)(hold_ms * GRANT_CLOCK_DRIFT_FACTOR) +
 			    GRANT_MARGIN_MS);
 	s->waiting_since_ms = 0;
-	/* What an earlier holding left behind is not worth anything now. */
+	/* The handover of an earlier hold is out of date now. */
 	g_clear_pointer(&s->handover_out, g_free);
 }
 
