--- a/gate/grant-call.c
+++ b/gate/grant-call.c
@@ -3,26 +3,30 @@
 #include "gate/grant-call.h"
 #include "util/counters.h"
 
-/* A shorter hold would be over before it could be renewed. */
+/* A shorter hold would end before it could be renewed. */
 #define MIN_HOLD_MS 300
 /*
- * A longer one would keep keys from their next owner for longer after a
- * restart: a new process waits for all that the one before may have sent.
+ * A longer hold would keep keys from their next owner for longer after a
+ * restart, since a new process waits until all holds that the previous process
+ * may have sent have ended.
  */
 #define MAX_HOLD_MS 2200
-/* Time for a call's bytes to leave: a busy loop, a connection to open. */
+/*
+ * Time for sending a call: the event loop may be busy, and a connection may
+ * have to be opened.
+ */
 #define SEND_TIMEOUT_MS 150
 /*
- * A hold is renewed when less than this is left, early enough for some calls
- * that get no answer. Runs differ by up to the spread, so that they are not all
- * renewed at one moment.
+ * A hold is renewed when less than this is left, early enough to try again
+ * after a few calls without an answer. The time differs between ranges by up to
+ * the spread, so that they are not all renewed at the same moment.
  */
 #define RENEW_BEFORE_END_MS 1100
 #define RENEW_SPREAD_MS 400
-/* A renewal that gains less is not worth its call. */
+/* To extend the hold by less is not worth a call. */
 #define MIN_RENEWAL_GAIN_MS 300
 #define RETRY_MS 50
-/* After the server named a higher fence: time to read what gave it. */
+/* After a rejected fence: time to read the log records that raised it. */
 #define FENCED_RETRY_MS 500
 
 #ifdef RULE_SWITCHES
@@ -40,8 +44,9 @@
 }
 
 /*
- * A process before this one may have been killed with a call in doubt, which
- * the server carries out after it has let the shard go on our word.
+ * A previous process may have been killed with a call in doubt. The backend
+ * server may apply that call even after it has released the shard on a call of
+ * this process.
  */
 static void on_resize(struct grants *g)
 {
@@ -61,10 +66,11 @@
 }
 
 /*
- * A connection refused shows that a server has ended, not when its successor at
- * the address began: that one may have taken what was meant for the life
- * before. So it is asked to let all of it go, as if a process before this one
- * had given it.
+ * A refused connection shows that an instance of the backend server has
+ * stopped, but not when the next instance at the address started: that one may
+ * have accepted calls meant for the previous instance. So held shards become
+ * unknown, as if granted by a previous process: the new instance is granted
+ * those that this node serves and is asked to release the others.
  */
 static void on_new_instance(struct grants *g)
 {
@@ -84,7 +90,10 @@
 	}
 }
 
-/* What was sent before has ended with it; what is on its way has not arrived. */
+/*
+ * Earlier holds ended with the instance. Calls in flight have not arrived yet,
+ * so they still count.
+ */
 static void on_server_stopped(struct grants *g)
 {
 	uint32_t i;
@@ -114,8 +123,8 @@
 }
 
 /*
- * A shard held under an older fence is as good: it has not been with anyone
- * else since, and its next renewal raises the fence.
+ * A shard held under an older fence is accepted too: no other backend server
+ * has held it since, and its next renewal raises the fence.
  */
 static bool server_holds(const struct grants *g, uint32_t shard, int64_t fence,
 			 int64_t now_ms)
@@ -133,7 +142,7 @@
 	(void)now_ms;
 	if (s->state != GRANT_HELD)
 		return;
-	/* Given anew at once; may_hold() still counts what was given. */
+	/* Makes a renewal due at once. may_hold() still counts the hold. */
 	s->holds_until_ms = 0;
 	s->retry_at_ms = 0;
 	COUNT(grants_misdirected);
@@ -165,9 +174,9 @@
 	s->holds_until_ms = 0;
 }
 
-/* What a scan of the shards knows of one of them. */
+/* What call a shard needs, if any. */
 struct shard_action {
-	bool grant; /* it is ours to serve under fence */
+	bool grant; /* this node serves it, under fence */
 	bool release;
 	int64_t fence;
 };
@@ -186,8 +195,11 @@
 		action.grant = action.fence > s->rejected_fence;
 		return action;
 	}
-	/* What the log gives us, or is about to, stays though we may not serve
-	 * it at this moment: let go it would come back cold. */
+	/*
+	 * A shard that the log assigns to this node, or will, is not released
+	 * although the node may not serve it now: granted again later, it would
+	 * come back with cold caches.
+	 */
 	action.release = s->state != GRANT_FREE && o->is_caught_up &&
 			 !o->ops->expects(o->user, i);
 	return action;
@@ -200,11 +212,11 @@
 
 static int64_t renewal_threshold_ms(uint32_t first)
 {
-	/* Neighbouring runs differ; the multiplier scatters them. */
+	/* The multiplier gives neighbouring ranges different times. */
 	return RENEW_BEFORE_END_MS + (first * 2654435761u) % RENEW_SPREAD_MS;
 }
 
-/* The longest run from first on whose shards one call can give. */
+/* End of the longest range from first on that one call can grant or renew. */
 static uint32_t last_shard_to_grant(const struct grants *g,
 				    const struct grant_owner *o, uint32_t first,
 				    const struct shard_action *action,
@@ -227,6 +239,7 @@
 	return i - 1;
 }
 
+/* End of the longest range from first on that one call can release. */
 static uint32_t last_shard_to_release(const struct grants *g,
 				      const struct grant_owner *o,
 				      uint32_t first, int64_t now_ms)
@@ -255,7 +268,10 @@
 		g->shards[i].call_in_flight = true;
 }
 
-/* Work out a hold that ends with our lease, wherever it is sent by then. */
+/*
+ * Sets the times of a hold so that it ends by the end of the lease (end_ms) if
+ * it is sent by send_by_ms. Returns false if it would be too short to use.
+ */
 static bool set_hold_times(const struct grants *g, struct grant_call *c,
 			   int64_t end_ms, int64_t max_ms, int64_t now_ms)
 {
@@ -299,7 +315,7 @@
 	       c->earliest_end_ms - now_ms >= left_ms + MIN_RENEWAL_GAIN_MS;
 }
 
-/* Keys that wait to be served, or to be served elsewhere, come first. */
+/* These go before renewals: keys wait to be served, here or at another node. */
 static bool next_grant_or_release(struct grants *g, const struct grant_owner *o,
 				  bool can_grant, bool can_release,
 				  int64_t now_ms, struct grant_call *c)
@@ -321,7 +337,7 @@
 		c->kind = GRANT_CALL_RELEASE;
 		c->first = i;
 		c->last = last_shard_to_release(g, o, i, now_ms);
-		/* Unknown what it was given under: no fence is higher. */
+		/* If the fence is unknown, use one above all in the log. */
 		c->row.fence = g->shards[i].fence ? g->shards[i].fence
 						  : o->newest_fence;
 		begin_call(g, c);
@@ -378,7 +394,7 @@
 	return can_grant && next_renewal(g, o, now_ms, c);
 }
 
-/* The server refuses what it was sent before under a lower fence. */
+/* From now on the backend server rejects calls in doubt under a lower fence. */
 static void clear_doubt_below(struct grant *s, int64_t fence)
 {
 	if (fence <= s->in_doubt_fence)
@@ -411,7 +427,7 @@
 		g_clear_pointer(&s->handover_out, g_free);
 		break;
 	case GRANT_FENCED:
-		/* One of the run's keys is meant; which, is not said. */
+		/* The answer does not tell which key has the higher fence. */
 		if (c->first == c->last)
 			s->rejected_fence = c->row.fence;
 		s->single_shard_calls = true;
@@ -450,7 +466,7 @@
 	bool in_doubt_counts = rule_enabled(g, GRANT_RULE_IN_DOUBT);
 	uint32_t i;
 
-	/* Which life answered is not said: it may have been the one before. */
+	/* The call may have been answered by the previous instance. */
 	if (c->instance != g->n_instances && outcome == GRANT_APPLIED)
 		outcome = GRANT_IN_DOUBT;
 	for (i = c->first; i <= c->last && i < g->n_shards; i++) {
--- a/gate/grant-call.h
+++ b/gate/grant-call.h
@@ -9,21 +9,22 @@
 #include "gate/grants.h"
 
 /*
- * Grants by call. The backend server is given a run of neighbouring keys by one
- * call, which sent again renews it, and lets keys go by another, answered with
- * a handover once the work that ran on them has ended. This decides what to
- * call next and takes in what came of it; who carries the calls is not its
- * concern. No input or output; the time is passed in.
+ * Grants by call. One call grants a range of neighbouring keys to the backend
+ * server; the same call sent again renews the grant. Another call makes the
+ * backend server release keys; it is answered, with a handover, once the work
+ * in progress on these keys has ended. This module decides which call to make
+ * next and takes in its outcome; other code sends the calls. No input or
+ * output; the time is passed in.
  *
- * A shard is free, held or, when it may have been given by a process before
- * this one or to a life of the server before this one, unknown. A call that got
- * no answer leaves it in doubt besides: the server may carry the call out
- * seconds later, after newer ones and after a release. Its time counts from its
- * arrival, so the doubt ends when a hold that arrived at the last moment at
- * which the bytes can have left would have run out, or when the server has
- * taken a higher fence. Until then the shard counts as held, and no other
- * server may have it. What a process before this one sent counts as in doubt
- * from the start.
+ * A shard is free, held, or unknown: it may have been granted by a previous
+ * process or to a previous instance of the backend server. In addition, a
+ * shard is in doubt after a call without an answer: the backend server may
+ * apply this call seconds later, after newer calls and even after a release.
+ * The time of a hold runs from the arrival of the call. So the doubt ends when
+ * a hold that arrived at the last moment at which the call's bytes can have
+ * been sent would have ended, or once the backend server has accepted a higher
+ * fence. Until then the shard counts as held, and no other backend server may
+ * get it. Calls of a previous process count as in doubt from the start.
  */
 
 enum grant_call_kind {
@@ -31,60 +32,78 @@
 	GRANT_CALL_RELEASE,
 };
 
-/* What came of a call. */
+/* The outcome of a call. */
 enum grant_outcome {
-	GRANT_APPLIED, /* the server said so */
-	GRANT_FENCED, /* it has seen a higher fence on one of the keys */
-	GRANT_NOT_APPLIED, /* it never was, and never will be */
-	GRANT_IN_DOUBT, /* no answer, or none that says */
+	GRANT_APPLIED, /* acknowledged by the backend server */
+	GRANT_FENCED, /* refused: a key was granted under a higher fence */
+	GRANT_NOT_APPLIED, /* not applied, and will not be */
+	GRANT_IN_DOUBT, /* no answer, or one that does not tell */
 };
 
 struct grant_call {
 	enum grant_call_kind kind;
-	uint32_t first; /* shards */
+	uint32_t first; /* first and last shard */
 	uint32_t last;
-	struct grant_row row; /* the same in keys, with fence and handover */
-	int64_t hold_ms; /* by the server's clock, from the call's arrival */
+	struct grant_row row; /* the range in keys, with fence and handover */
+	/* From the arrival of the call, by the backend server's clock. */
+	int64_t hold_ms;
 	/*
-	 * A call whose bytes have not left by then must not be sent: its hold
-	 * was worked out from the end of our lease, and would outlast it.
+	 * The call must not be sent after this time: hold_ms is computed from
+	 * the end of this node's lease, and a later hold would outlast it.
 	 */
 	int64_t send_by_ms;
-	int64_t latest_end_ms; /* sent by then, what it gives has ended */
-	int64_t earliest_end_ms; /* and carried out, has not ended before */
-	uint32_t instance; /* of the server that was meant */
+	/* If sent by send_by_ms, the hold has ended by then. */
+	int64_t latest_end_ms;
+	/* If applied, the hold does not end before then. */
+	int64_t earliest_end_ms;
+	/* The backend server instance meant, as counted by struct grants. */
+	uint32_t instance;
 };
 
-/* A heartbeat of the server was heard: it is there, and calls may go. */
+/*
+ * Takes in that the backend server sent a heartbeat. No calls are made before
+ * the first one.
+ */
 void grant_call_heartbeat_received(struct grants *g);
 
 /*
- * What to call next, of kinds (a bit for each enum grant_call_kind); false when
- * there is nothing. The shards of the call count
- * as asked until grant_call_done(), so that each is part of one call at a time.
+ * Sets *c to the next call to make. kinds: the kinds allowed, with bit
+ * 1 << kind for each enum grant_call_kind. Returns false if there is no call to
+ * make. The shards of the call count as in flight until grant_call_done(), so
+ * that each shard is part of one call at a time.
  */
 bool grant_call_next(struct grants *g, const struct grant_owner *o,
 		     uint32_t kinds, int64_t hold_max_ms, int64_t now_ms,
 		     struct grant_call *c);
 
-/* How a call ended; handover is what a release was answered with, or NULL. */
+/*
+ * Takes in the outcome of a call. handover: the handover in the answer to a
+ * release, or NULL.
+ */
 void grant_call_done(struct grants *g, const struct grant_call *c,
 		     enum grant_outcome outcome, const char *handover,
 		     int64_t now_ms);
 
-/* How many calls it takes to renew all that the server holds. */
+/* The number of calls it takes to renew all that the backend server holds. */
 uint32_t grant_call_count_ranges(const struct grants *g);
 
 /*
- * The safety rules, one bit each. The randomised test builds this file with
- * RULE_SWITCHES and turns each off to see that it catches the breach.
+ * The safety rules, one bit each. The randomised test builds grant-call.c with
+ * RULE_SWITCHES and disables each rule in turn to check that the test detects
+ * the violation.
  */
 enum grant_rule {
+	/* A shard counts as held while a call is in doubt. */
 	GRANT_RULE_IN_DOUBT = 1 << 0,
+	/* Calls are sent by send_by_ms, and hold_ms allows for that time. */
 	GRANT_RULE_SEND_DEADLINE = 1 << 1,
+	/* Grants of a previous process count as held. */
 	GRANT_RULE_PREV_PROCESS = 1 << 2,
+	/* A shard counts as held while a call is in flight. */
 	GRANT_RULE_IN_FLIGHT = 1 << 3,
+	/* hold_ms allows for a slow clock of the backend server. */
 	GRANT_RULE_CLOCK_DRIFT = 1 << 4,
+	/* Calls of a previous process count as in doubt. */
 	GRANT_RULE_PREV_PROCESS_IN_DOUBT = 1 << 5,
 };
 
