--- a/gate/life.h
+++ b/gate/life.h
@@ -5,27 +5,33 @@
 #include <stdint.h>
 
 /*
- * Which life of the backend server a heartbeat is from. A server may start
- * again at the same address, under the same id even, while heartbeats of its
- * life before are still on their way: what these say is over.
+ * Tells which instance of the backend server a heartbeat is from. A backend
+ * server may restart at the same address, even under the same id, while
+ * heartbeats of its previous instance are still in flight. Those are out of
+ * date and must be ignored.
  */
 
-#define LIFE_ID_MAX_LEN 39
+#define INSTANCE_ID_MAX_LEN 39
 
-struct life {
-	char id[LIFE_ID_MAX_LEN + 1]; /* "" none known */
-	int64_t born_ms; /* by the server host's clock of day */
-	int64_t number; /* of its last heartbeat */
-	int64_t heard_ms; /* our clock */
+struct server_instance {
+	char id[INSTANCE_ID_MAX_LEN + 1]; /* "" if none is known */
+	int64_t started_ms; /* wall clock of the backend server's host */
+	int64_t heartbeat_number; /* of the last one taken in */
+	int64_t heard_at_ms; /* last heartbeat taken in, by this node's clock */
 };
 
-enum life_news {
-	LIFE_NEW, /* a life not seen before by this process */
-	LIFE_SAME, /* the one known, with news */
-	LIFE_STALE, /* an older life, or an older word of this one */
+enum instance_check {
+	INSTANCE_NEW, /* an instance that this process has not seen before */
+	INSTANCE_CURRENT, /* the known instance, with a newer heartbeat */
+	INSTANCE_STALE, /* an older instance, or an older heartbeat */
 };
 
-enum life_news life_on_beat(struct life *l, const char *id, int64_t born_ms,
-			    int64_t number, int64_t now_ms);
+/*
+ * Takes in heartbeat number of the instance id that started at started_ms (Unix
+ * time of its host). A stale heartbeat changes nothing.
+ */
+enum instance_check instance_on_heartbeat(struct server_instance *s,
+					  const char *id, int64_t started_ms,
+					  int64_t number, int64_t now_ms);
 
 #endif
--- a/member/holds.c
+++ b/member/holds.c
@@ -747,5 +747,7 @@
 		return false;
 	owner = fleet_member(&n->fleet, holds_shard(n, shard)->owner);
 	return owner && !strcmp(owner->host, n->join_info.host) &&
-	       n->join_info.server_instance_id[0] && !strcmp(owner->server_instance_id, n->join_info.server_instance_id);
+	       n->join_info.server_instance_id[0] &&
+	       !strcmp(owner->server_instance_id,
+		       n->join_info.server_instance_id);
 }
--- a/member/member.c
+++ b/member/member.c
@@ -273,7 +273,8 @@
 
 void member_set_server_instance(struct member_node *n, const char *instance)
 {
-	g_strlcpy(n->join_info.server_instance_id, instance, sizeof(n->join_info.server_instance_id));
+	g_strlcpy(n->join_info.server_instance_id, instance,
+		  sizeof(n->join_info.server_instance_id));
 }
 
 bool member_lease_needs_log(const struct member_node *n)
--- a/member/propose.c
+++ b/member/propose.c
@@ -366,9 +366,9 @@
 		if (s->shards[i].owner == n->self_id && !holds_cleared(n, i))
 			upto = MIN(upto, s->shards[i].fence - 1);
 	for (i = 0; s && i < n->n_holds; i++)
-		*useful = *useful ||
-			  (s->shards[i].owner == n->self_id &&
-			   s->shards[i].prev_owner && s->shards[i].fence <= upto);
+		*useful = *useful || (s->shards[i].owner == n->self_id &&
+				      s->shards[i].prev_owner &&
+				      s->shards[i].fence <= upto);
 	return upto;
 }
 
@@ -438,7 +438,8 @@
 	const struct fleet_service *s = member_service(n);
 
 	return s && shard < n->n_holds &&
-	       s->shards[shard].owner == n->self_id && !s->shards[shard].prev_owner &&
+	       s->shards[shard].owner == n->self_id &&
+	       !s->shards[shard].prev_owner &&
 	       n->holds[shard].state == HOLD_HELD;
 }
 
--- a/model/entry.c
+++ b/model/entry.c
@@ -280,7 +280,7 @@
 	chooser_answered(&e->chooser, member_id(j->gate),
 			 ms > 0 ? cost_to_nominal_ms(c, ms) : 0,
 			 admission_load(&j->gate->admission),
-			 j->gate->admission.limit.now, now_ms(m));
+			 j->gate->admission.limit.allowed, now_ms(m));
 }
 
 void entry_answered(struct model *m, void *subject)
--- a/model/server.c
+++ b/model/server.c
@@ -40,7 +40,7 @@
 
 static void unreserve_link(struct job *j)
 {
-	link_withdraw(&j->gate->admission.link, j->reserved_bytes);
+	link_unreserve(&j->gate->admission.link, j->reserved_bytes);
 	j->reserved_bytes = 0;
 }
 
@@ -67,8 +67,8 @@
 	j->state = JOB_ENDED;
 	refusal->job = j;
 	refusal->not_owner = not_owner;
-	refusal->wait_ms = admission_wait_ms(&j->gate->admission,
-					     g_rand_double(m->rand), now_ms(m));
+	refusal->wait_ms = admission_retry_after_ms(
+		&j->gate->admission, g_rand_double(m->rand), now_ms(m));
 	queue_count(&j->gate->admission.queue, j->request->class_index, true);
 	model_schedule(m, m->now_us + link_delay_us(j), refusal_arrived,
 		       refusal);
@@ -82,7 +82,7 @@
 	double ms = k->work_ms * h->work_factor;
 
 	ms *= exp(k->noise * model_random_normal(m));
-	if (h->admission.n_running > s->slots * CROWDING_THRESHOLD)
+	if (h->admission.n_in_flight > s->slots * CROWDING_THRESHOLD)
 		ms *= 1 + s->crowding;
 	return ms * model_fault_factor(m, MODEL_FAULT_SLOW, h);
 }
@@ -104,8 +104,9 @@
 		       LIMIT_ANSWERED, ms, j->started_at_us / US_PER_MS,
 		       now_ms(m));
 	unreserve_link(j);
-	queue_learn_bytes(&j->gate->admission.queue, j->request->class_index,
-			  class_of(j->request)->answer_bytes);
+	queue_update_answer_bytes(&j->gate->admission.queue,
+				  j->request->class_index,
+				  class_of(j->request)->answer_bytes);
 	if (j->gate != j->request->entry)
 		link_sent(&j->gate->admission.link,
 			  class_of(j->request)->answer_bytes, now_ms(m));
@@ -167,7 +168,7 @@
 {
 	struct queued q;
 
-	while (admission_overtaken(&h->admission, now_ms(m), &q))
+	while (admission_pop_overtaken(&h->admission, now_ms(m), &q))
 		refuse_job(m, q.request, false);
 	while (admission_next(&h->admission, now_ms(m), &q))
 		start_job(m, q.request);
@@ -208,7 +209,7 @@
 		return;
 	}
 	j->state = JOB_QUEUED;
-	j->reserved_bytes = admission_promise(&h->admission, &in);
+	j->reserved_bytes = admission_reserve_link(&h->admission, &in);
 	if (victim) {
 		refuse_job(m, victim->request, false);
 		g_free(victim);
