--- a/gate/grant-owner.c
+++ b/gate/grant-owner.c
@@ -7,7 +7,7 @@
 
 static bool expects(const void *user, uint32_t shard)
 {
-	return member_expects(user, shard);
+	return member_expects_to_own(user, shard);
 }
 
 static const struct grant_owner_ops member_owner = {
--- a/member/busy.c
+++ b/member/busy.c
@@ -21,7 +21,7 @@
  * given, for as long as the grant lasts. Witnesses wait that long before they
  * let anybody take over; a restart that proves the stop at once does not.
  */
-static int64_t abrupt_wait_ms(const struct member_node *n, const char *reason)
+static int64_t server_busy_ms(const struct member_node *n, const char *reason)
 {
 	int64_t wait = holds_guard_ms(n);
 
@@ -40,41 +40,41 @@
 	return &n->holds[ev->shard];
 }
 
-static void expect_busy(struct member_node *n, struct hold *h,
-			const char *reason)
+static void mark_server_busy(struct member_node *n, struct hold *h,
+			     const char *reason)
 {
 	h->busy_until_ms =
-		MAX(h->busy_until_ms, n->now_ms + abrupt_wait_ms(n, reason));
+		MAX(h->busy_until_ms, n->now_ms + server_busy_ms(n, reason));
 }
 
 /* The log moved a shard of our service. */
-void holds_on_moved(struct member_node *n, const struct fleet_event *ev)
+void holds_on_shard_moved(struct member_node *n, const struct fleet_event *ev)
 {
 	struct hold *h = hold_of_event(n, ev);
 	bool handed_over;
 
 	if (!h)
 		return;
-	handed_over = ev->from && h->ids_from == ev->from &&
-		      h->ids_fence == ev->fence_before;
+	handed_over = ev->from && h->ids_sender == ev->from &&
+		      h->ids_sender_fence == ev->fence_before;
 	if (ev->from && !fleet_member(&n->fleet, ev->from) && !handed_over)
-		expect_busy(n, h, ev->reason);
-	h->owner_before = ev->from;
+		mark_server_busy(n, h, ev->reason);
+	h->moved_from = ev->from;
 	if (ev->to != n->self || !n->self || h->state == HOLD_HELD)
 		return;
 	h->has_ids = !ev->from || handed_over;
 	if (!ev->from)
-		h->blind_since_ms = 0;
+		h->ids_unknown_since_ms = 0;
 }
 
 /* The heir of a shard, which may have held it already, is gone. */
-void holds_on_successor_gone(struct member_node *n,
-			     const struct fleet_event *ev)
+void holds_on_successor_removed(struct member_node *n,
+				const struct fleet_event *ev)
 {
 	struct hold *h = hold_of_event(n, ev);
 
 	if (h)
-		expect_busy(n, h, ev->reason);
+		mark_server_busy(n, h, ev->reason);
 }
 
 /*
@@ -83,15 +83,17 @@
  * log has, not by ours: a process reads the log before its own server has been
  * heard, and would otherwise wait a lease's length for each restart in it.
  */
-static bool adopted(const struct member_node *n, const struct shard *sh,
-		    const struct fleet_event *ev)
+static bool is_transferred_with_server(const struct member_node *n,
+				       const struct shard *sh,
+				       const struct fleet_event *ev)
 {
 	return sh->owner == ev->offset + 1 && member_service(n)->key_numbers &&
 	       ev->member->life[0];
 }
 
 /* A member is gone: what it may still have held is busy for a while. */
-void holds_on_gone(struct member_node *n, const struct fleet_event *ev)
+void holds_on_member_removed(struct member_node *n,
+			     const struct fleet_event *ev)
 {
 	int64_t id = ev->member->id;
 	uint32_t i;
@@ -99,10 +101,10 @@
 	for (i = 0; i < n->n_holds; i++) {
 		const struct shard *sh = holds_shard(n, i);
 
-		if (adopted(n, sh, ev))
+		if (is_transferred_with_server(n, sh, ev))
 			continue;
 		if (sh->from == id || sh->from_successor == id ||
 		    sh->earlier_from == id || sh->earlier_successor == id)
-			expect_busy(n, &n->holds[i], ev->reason);
+			mark_server_busy(n, &n->holds[i], ev->reason);
 	}
 }
--- a/member/holds.c
+++ b/member/holds.c
@@ -5,9 +5,9 @@
 #include "util/invariant.h"
 #include "util/result.h"
 
-#define ASK_INTERVAL_MS 200
-#define HAND_OVER_MS 1000
-#define NOTE_UNSETTLED_MS 5000
+#define RELEASE_REQUEST_INTERVAL_MS 200
+#define HAND_OVER_TIMEOUT_MS 1000
+#define UNSETTLED_NOTE_INTERVAL_MS 5000
 #define IDS_PER_ENTRY 4
 
 struct shard *holds_shard(const struct member_node *n, uint32_t i)
@@ -15,7 +15,7 @@
 	return &member_service(n)->shards[i];
 }
 
-static bool is_gone(const struct member_node *n, int64_t id)
+static bool is_stopped(const struct member_node *n, int64_t id)
 {
 	return !id || !fleet_member(&n->fleet, id) || takeover_proved(n, id);
 }
@@ -25,7 +25,7 @@
  * report in heartbeats. Then a process that starts anew knows what its server
  * holds, and answers for what the process before it granted.
  */
-bool holds_granted(const struct member_node *n)
+bool holds_servers_report_grants(const struct member_node *n)
 {
 	const struct fleet_service *s = member_service(n);
 
@@ -33,21 +33,22 @@
 }
 
 /* Whether the log, or a proved stop of the owner, gives us the shard. */
-static bool entitled(const struct member_node *n, uint32_t i, uint8_t *step)
+static bool is_entitled(const struct member_node *n, uint32_t i,
+			uint8_t *as_successor)
 {
 	const struct shard *sh = holds_shard(n, i);
 
-	*step = 0;
+	*as_successor = 0;
 	if (!n->self || n->resigning)
 		return false;
 	if (sh->owner == n->self)
 		return true;
-	*step = 1;
+	*as_successor = 1;
 	return sh->successor == n->self && sh->owner &&
 	       takeover_proved(n, sh->owner);
 }
 
-static bool witnesses_know(const struct member_node *n, int64_t offset)
+static bool witnesses_applied(const struct member_node *n, int64_t offset)
 {
 	const struct member *m = fleet_member(&n->fleet, n->self);
 
@@ -63,95 +64,97 @@
 
 /* The owner and successor before one of a shard's unsettled moves. */
 struct predecessors {
-	int64_t from;
+	int64_t owner;
 	int64_t successor;
-	uint8_t from_bit; /* CLEAR_*: from is known not to serve */
+	uint8_t owner_bit; /* RELEASED_BY_*: from is known not to serve */
 	uint8_t successor_bit;
 };
 
 #define MAX_PREDECESSORS 2
 
-static void predecessors_of(const struct shard *sh,
-			    struct predecessors p[MAX_PREDECESSORS])
+static void get_predecessors(const struct shard *sh,
+			     struct predecessors p[MAX_PREDECESSORS])
 {
-	p[0] = (struct predecessors){ sh->from, sh->from_successor, CLEAR_FROM,
-				      CLEAR_SUCCESSOR };
+	p[0] = (struct predecessors){ sh->from, sh->from_successor,
+				      RELEASED_BY_PREV_OWNER,
+				      RELEASED_BY_PREV_SUCCESSOR };
 	p[1] = (struct predecessors){ sh->earlier_from, sh->earlier_successor,
-				      CLEAR_EARLIER_FROM,
-				      CLEAR_EARLIER_SUCCESSOR };
+				      RELEASED_BY_OLDER_OWNER,
+				      RELEASED_BY_OLDER_SUCCESSOR };
 }
 
-static bool pair_clear(const struct member_node *n, uint32_t i,
-		       const struct predecessors *p)
+static bool pair_released(const struct member_node *n, uint32_t i,
+			  const struct predecessors *p)
 {
 	const struct hold *h = &n->holds[i];
-	bool from = h->clear & p->from_bit;
-	bool successor = h->clear & p->successor_bit;
+	bool from = h->released_by & p->owner_bit;
+	bool successor = h->released_by & p->successor_bit;
 
-	if (!p->from)
+	if (!p->owner)
 		return true;
-	if (p->from == n->self) {
+	if (p->owner == n->self) {
 		from = true;
 		successor = successor ||
-			    witnesses_know(n, holds_shard(n, i)->fence);
+			    witnesses_applied(n, holds_shard(n, i)->fence);
 	}
-	from = from || is_gone(n, p->from);
+	from = from || is_stopped(n, p->owner);
 	successor = successor || p->successor == n->self ||
-		    is_gone(n, p->successor);
+		    is_stopped(n, p->successor);
 	return from && successor;
 }
 
 /* Whether nobody who held or could inherit the shard before still serves. */
-static bool predecessors_clear(const struct member_node *n, uint32_t i)
+static bool predecessors_released(const struct member_node *n, uint32_t i)
 {
 	struct predecessors p[MAX_PREDECESSORS];
 
 	if (!rule_on(n, RULE_RELEASE_BEFORE_HOLD))
 		return true;
-	predecessors_of(holds_shard(n, i), p);
-	return pair_clear(n, i, &p[0]) && pair_clear(n, i, &p[1]);
+	get_predecessors(holds_shard(n, i), p);
+	return pair_released(n, i, &p[0]) && pair_released(n, i, &p[1]);
 }
 
 /* Whether a shard that is ours needs no more word from its predecessors. */
-bool holds_cleared(const struct member_node *n, uint32_t i)
+bool holds_can_settle(const struct member_node *n, uint32_t i)
 {
 	const struct shard *sh = holds_shard(n, i);
 
 	if (!sh->from)
 		return true;
 	if (sh->from == n->self)
-		return predecessors_clear(n, i);
+		return predecessors_released(n, i);
 	return n->holds[i].state == HOLD_HELD;
 }
 
 /* A succession ahead of the log comes after the record that named the heir. */
-static int64_t fence_of(const struct member_node *n, uint32_t i)
+static int64_t serving_fence(const struct member_node *n, uint32_t i)
 {
 	const struct shard *sh = holds_shard(n, i);
 
-	return n->holds[i].step ? sh->heir_fence * 2 + 1 : sh->fence * 2;
+	return n->holds[i].as_successor ? sh->heir_fence * 2 + 1
+					: sh->fence * 2;
 }
 
-static void acquire(struct member_node *n, uint32_t i)
+static void acquire_shard(struct member_node *n, uint32_t i)
 {
 	struct hold *h = &n->holds[i];
 
 	INVARIANT(lease_valid(n), "a shard acquired without a lease");
 	h->state = HOLD_HELD;
-	h->served_fence = fence_of(n, i);
+	h->served_fence = serving_fence(n, i);
 	h->held_since_ms = n->now_ms;
 	if (!h->has_ids)
-		h->blind_since_ms = n->now_ms;
+		h->ids_unknown_since_ms = n->now_ms;
 	COUNT(shards_acquired);
 }
 
-static void let_go(struct member_node *n, uint32_t i)
+static void release_shard(struct member_node *n, uint32_t i)
 {
 	int64_t shard = i;
 
 	n->holds[i].state = HOLD_NONE;
-	n->holds[i].clear = 0;
-	g_array_append_val(n->releases, shard);
+	n->holds[i].released_by = 0;
+	g_array_append_val(n->unsent_releases, shard);
 	COUNT(shards_released);
 }
 
@@ -159,23 +162,23 @@
  * Whether all who may hold a shard can be asked. Records that we read at the
  * start were made at an unknown time before, so what they would have us wait
  * for is waited for in full from the start, unless nothing in the shard's state
- * asks for a wait: its predecessors are members, who answer, or are this host's
- * own earlier incarnation, whose server is ours.
+ * asks for a wait: its predecessors are members, who answer, or are this
+ * host's own earlier incarnation, whose server is ours.
  */
-static bool predecessors_answer(const struct member_node *n, uint32_t i)
+static bool can_ask_predecessors(const struct member_node *n, uint32_t i)
 {
 	struct predecessors p[MAX_PREDECESSORS];
 	uint32_t k;
 
 	if (!rule_on(n, RULE_PAST_IS_WAITED_OUT))
 		return true;
-	if (!holds_granted(n) || holds_guard_ms(n) ||
+	if (!holds_servers_report_grants(n) || holds_guard_ms(n) ||
 	    n->fleet.log_witnessed_gone)
 		return false;
-	predecessors_of(holds_shard(n, i), p);
+	get_predecessors(holds_shard(n, i), p);
 	for (k = 0; k < MAX_PREDECESSORS; k++)
-		if (p[k].from && !fleet_member(&n->fleet, p[k].from) &&
-		    !ids_contain(n->own_before, p[k].from))
+		if (p[k].owner && !fleet_member(&n->fleet, p[k].owner) &&
+		    !ids_contain(n->own_before, p[k].owner))
 			return false;
 	return true;
 }
@@ -185,53 +188,54 @@
  * it: should we be lost, an heir named before that record may take over without
  * having read it, under a fence that is lower than the record's.
  */
-static void raise_fence(struct member_node *n, uint32_t i, uint8_t step)
+static void raise_fence(struct member_node *n, uint32_t i, uint8_t as_successor)
 {
 	const struct shard *sh = holds_shard(n, i);
 	struct hold *h = &n->holds[i];
 
 	if (h->served_fence == sh->fence * 2)
 		return;
-	if (!step && rule_on(n, RULE_WITNESSES_KNOW_FENCE) &&
-	    !witnesses_know(n, sh->fence)) {
+	if (!as_successor && rule_on(n, RULE_WITNESSES_KNOW_FENCE) &&
+	    !witnesses_applied(n, sh->fence)) {
 		lease_ask_now(n);
 		return;
 	}
-	h->step = step;
-	h->served_fence = fence_of(n, i);
+	h->as_successor = as_successor;
+	h->served_fence = serving_fence(n, i);
 }
 
-static void update_entitled(struct member_node *n, uint32_t i, uint8_t step)
+static void update_entitled(struct member_node *n, uint32_t i,
+			    uint8_t as_successor)
 {
 	const struct shard *sh = holds_shard(n, i);
 	struct hold *h = &n->holds[i];
 
 	if (h->state == HOLD_HELD) {
-		raise_fence(n, i, step);
+		raise_fence(n, i, as_successor);
 		return;
 	}
-	if (h->state != HOLD_WAITING) {
-		h->state = HOLD_WAITING;
+	if (h->state != HOLD_ACQUIRING) {
+		h->state = HOLD_ACQUIRING;
 		h->held_since_ms = 0;
-		if (step)
-			h->has_ids = h->ids_from == sh->owner &&
-				     h->ids_fence == sh->fence;
-		if (step && !h->has_ids)
+		if (as_successor)
+			h->has_ids = h->ids_sender == sh->owner &&
+				     h->ids_sender_fence == sh->fence;
+		if (as_successor && !h->has_ids)
 			h->busy_until_ms = MAX(h->busy_until_ms,
 					       n->now_ms + holds_guard_ms(n));
-		n->next_ask_ms = n->now_ms;
+		n->next_release_request_ms = n->now_ms;
 	}
-	h->step = step;
-	if (!predecessors_clear(n, i) || !lease_valid(n))
+	h->as_successor = as_successor;
+	if (!predecessors_released(n, i) || !lease_valid(n))
 		return;
-	if (n->now_ms < n->quiet_until_ms && !predecessors_answer(n, i))
+	if (n->now_ms < n->quiet_until_ms && !can_ask_predecessors(n, i))
 		return;
 	if (n->now_ms < h->busy_until_ms)
 		return;
-	acquire(n, i);
+	acquire_shard(n, i);
 }
 
-static void update_foreign(struct member_node *n, uint32_t i)
+static void update_unentitled(struct member_node *n, uint32_t i)
 {
 	struct hold *h = &n->holds[i];
 
@@ -240,7 +244,7 @@
 	 * again, is not free before those have ended: hence not straight to
 	 * HOLD_NONE, which would have us tell the next owner so.
 	 */
-	if (h->state == HOLD_WAITING) {
+	if (h->state == HOLD_ACQUIRING) {
 		h->state = rule_on(n, RULE_REQUESTS_END_FIRST) ? HOLD_RELEASING
 							       : HOLD_NONE;
 	}
@@ -252,83 +256,85 @@
 		 * they do. Without a lease nobody is being served anyhow.
 		 */
 		if (!n->resigning && lease_valid(n) &&
-		    !witnesses_know(n, holds_shard(n, i)->fence)) {
+		    !witnesses_applied(n, holds_shard(n, i)->fence)) {
 			lease_ask_now(n);
 			return;
 		}
 		h->state = HOLD_RELEASING;
 	}
 	if (h->state == HOLD_RELEASING && !n->ops->in_flight(n->ops_user, i))
-		let_go(n, i);
+		release_shard(n, i);
 }
 
 /* What was cleared for one move says nothing of the next. */
-static void follow_fence(struct hold *h, const struct shard *sh)
+static void reset_on_new_fence(struct hold *h, const struct shard *sh)
 {
-	if (h->fence == sh->fence)
+	if (h->move_fence == sh->fence)
 		return;
-	h->fence = sh->fence;
-	h->clear = 0;
+	h->move_fence = sh->fence;
+	h->released_by = 0;
 }
 
-static void update(struct member_node *n, uint32_t i)
+static void update_hold(struct member_node *n, uint32_t i)
 {
-	uint8_t step;
+	uint8_t as_successor;
 
-	follow_fence(&n->holds[i], holds_shard(n, i));
-	if (entitled(n, i, &step))
-		update_entitled(n, i, step);
+	reset_on_new_fence(&n->holds[i], holds_shard(n, i));
+	if (is_entitled(n, i, &as_successor))
+		update_entitled(n, i, as_successor);
 	else
-		update_foreign(n, i);
+		update_unentitled(n, i);
 }
 
-static void add_ask(GHashTable *asks, int64_t to, uint32_t i)
+static void add_release_request(GHashTable *requests, int64_t to, uint32_t i)
 {
-	GArray *list = g_hash_table_lookup(asks, &to);
+	GArray *list = g_hash_table_lookup(requests, &to);
 	int64_t shard = i;
 
 	if (!list) {
 		list = g_array_new(FALSE, FALSE, sizeof(int64_t));
-		g_hash_table_insert(asks, g_memdup2(&to, sizeof(to)), list);
+		g_hash_table_insert(requests, g_memdup2(&to, sizeof(to)), list);
 	}
 	g_array_append_val(list, shard);
 }
 
-static void collect_asks(struct member_node *n, GHashTable *asks, uint32_t i)
+static void collect_release_requests(struct member_node *n,
+				     GHashTable *requests, uint32_t i)
 {
 	const struct shard *sh = holds_shard(n, i);
 	const struct hold *h = &n->holds[i];
 	struct predecessors p[MAX_PREDECESSORS];
 	uint32_t k;
 
-	if (h->state != HOLD_WAITING && holds_cleared(n, i))
+	if (h->state != HOLD_ACQUIRING && holds_can_settle(n, i))
 		return;
-	if (sh->owner != n->self && h->state != HOLD_WAITING)
+	if (sh->owner != n->self && h->state != HOLD_ACQUIRING)
 		return;
-	predecessors_of(sh, p);
+	get_predecessors(sh, p);
 	for (k = 0; k < MAX_PREDECESSORS; k++) {
-		if (p[k].from != n->self && !(h->clear & p[k].from_bit) &&
-		    !is_gone(n, p[k].from))
-			add_ask(asks, p[k].from, i);
-		if (p[k].from && p[k].successor != n->self &&
-		    !(h->clear & p[k].successor_bit) &&
-		    !is_gone(n, p[k].successor))
-			add_ask(asks, p[k].successor, i);
+		if (p[k].owner != n->self &&
+		    !(h->released_by & p[k].owner_bit) &&
+		    !is_stopped(n, p[k].owner))
+			add_release_request(requests, p[k].owner, i);
+		if (p[k].owner && p[k].successor != n->self &&
+		    !(h->released_by & p[k].successor_bit) &&
+		    !is_stopped(n, p[k].successor))
+			add_release_request(requests, p[k].successor, i);
 	}
 }
 
-static void send_asks(struct member_node *n)
+static void send_release_requests(struct member_node *n)
 {
-	GHashTable *asks = g_hash_table_new_full(g_int64_hash, g_int64_equal,
-						 g_free,
-						 (GDestroyNotify)g_array_unref);
+	GHashTable *requests =
+		g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free,
+				      (GDestroyNotify)g_array_unref);
 	GHashTableIter it;
 	gpointer to, list;
 	uint32_t i;
 
 	for (i = 0; i < n->n_holds; i++)
-		collect_asks(n, asks, i);
-	g_hash_table_iter_init(&it, asks);
+		collect_release_requests(n, requests, i);
+	g_hash_table_iter_init(&it, requests);
 	while (g_hash_table_iter_next(&it, &to, &list)) {
 		struct member_msg msg;
 
@@ -338,28 +344,29 @@
 		member_send(n, *(int64_t *)to, &msg);
 		member_msg_finish(&msg);
 	}
-	g_hash_table_unref(asks);
+	g_hash_table_unref(requests);
 }
 
-static void export_shard(struct member_node *n, uint32_t i, GArray *out)
+static void export_shard_ids(struct member_node *n, uint32_t i, GArray *out)
 {
 	const struct hold *h = &n->holds[i];
-	int64_t blind[IDS_PER_ENTRY] = { i, 0, n->now_ms - h->blind_since_ms,
-					 0 };
+	int64_t unknown[IDS_PER_ENTRY] = { i, 0,
+					   n->now_ms - h->ids_unknown_since_ms,
+					   0 };
 
-	if (h->blind_since_ms)
-		g_array_append_vals(out, blind, IDS_PER_ENTRY);
+	if (h->ids_unknown_since_ms)
+		g_array_append_vals(out, unknown, IDS_PER_ENTRY);
 	n->ops->export_ids(n->ops_user, i, out);
 }
 
 /* Whether what we know of a shard's ids has no gap. */
-static bool knows_ids(const struct member_node *n, uint32_t i)
+static bool has_complete_ids(const struct member_node *n, uint32_t i)
 {
 	return n->holds[i].held_since_ms || n->holds[i].has_ids;
 }
 
-static void send_some(struct member_node *n, int64_t to, const GArray *shards,
-		      bool with_ids)
+static void send_release_msg(struct member_node *n, int64_t to,
+			     const GArray *shards, bool with_ids)
 {
 	struct member_msg msg;
 	int64_t newest = 0;
@@ -373,13 +380,13 @@
 	for (i = 0; i < shards->len; i++) {
 		int64_t s = g_array_index(shards, int64_t, i);
 
-		if (knows_ids(n, s) != with_ids)
+		if (has_complete_ids(n, s) != with_ids)
 			continue;
 		newest = MAX(newest, holds_shard(n, s)->fence);
 		g_array_append_val(msg.list, s);
-		export_shard(n, s, msg.ids);
+		export_shard_ids(n, s, msg.ids);
 	}
-	if (witnesses_know(n, newest))
+	if (witnesses_applied(n, newest))
 		msg.flags |= RELEASE_CLEARS_SUCCESSOR;
 	if (msg.list->len)
 		member_send(n, to, &msg);
@@ -389,54 +396,54 @@
 static void send_release(struct member_node *n, int64_t to,
 			 const GArray *shards)
 {
-	send_some(n, to, shards, true);
-	send_some(n, to, shards, false);
+	send_release_msg(n, to, shards, true);
+	send_release_msg(n, to, shards, false);
 }
 
-static void tell_released(struct member_node *n)
+static void send_unsent_releases(struct member_node *n)
 {
-	GArray *shards = n->releases;
-	GArray *one = g_array_new(FALSE, FALSE, sizeof(int64_t));
+	GArray *shards = n->unsent_releases;
+	GArray *batch = g_array_new(FALSE, FALSE, sizeof(int64_t));
 
-	n->releases = g_array_new(FALSE, FALSE, sizeof(int64_t));
+	n->unsent_releases = g_array_new(FALSE, FALSE, sizeof(int64_t));
 	while (shards->len) {
 		int64_t to =
 			holds_shard(n, g_array_index(shards, int64_t, 0))->owner;
 		uint32_t i;
 
-		g_array_set_size(one, 0);
+		g_array_set_size(batch, 0);
 		for (i = shards->len; i-- > 0;) {
 			int64_t s = g_array_index(shards, int64_t, i);
 
 			if (holds_shard(n, s)->owner != to)
 				continue;
-			g_array_append_val(one, s);
+			g_array_append_val(batch, s);
 			g_array_remove_index_fast(shards, i);
 		}
 		if (to && to != n->self)
-			send_release(n, to, one);
+			send_release(n, to, batch);
 	}
-	g_array_unref(one);
+	g_array_unref(batch);
 	g_array_unref(shards);
 }
 
-static void hand_over_to(struct member_node *n, const GArray *heirs)
+static void hand_over_ids(struct member_node *n, const GArray *successors)
 {
 	GArray *shards = g_array_new(FALSE, FALSE, sizeof(int64_t));
 	uint32_t i, j;
 
-	for (i = 0; i < heirs->len; i++) {
-		int64_t heir = g_array_index(heirs, int64_t, i);
+	for (i = 0; i < successors->len; i++) {
+		int64_t successor = g_array_index(successors, int64_t, i);
 
 		g_array_set_size(shards, 0);
 		for (j = 0; j < n->n_holds; j++) {
 			const struct shard *sh = holds_shard(n, j);
 			int64_t s = j;
 
-			if (sh->owner == n->self && sh->successor == heir)
+			if (sh->owner == n->self && sh->successor == successor)
 				g_array_append_val(shards, s);
 		}
-		send_release(n, heir, shards);
+		send_release(n, successor, shards);
 	}
 	g_array_unref(shards);
 }
@@ -444,45 +451,45 @@
 /* Resigning and idle: give every successor the ids seen on its shards. */
 void holds_hand_over(struct member_node *n)
 {
-	GArray *heirs = witness_successors(n, n->self);
+	GArray *successors = witness_successors(n, n->self);
 
-	if (!n->handed_over_ms)
-		n->handed_over_ms = n->now_ms;
-	hand_over_to(n, heirs);
-	g_array_unref(heirs);
+	if (!n->hand_over_since_ms)
+		n->hand_over_since_ms = n->now_ms;
+	hand_over_ids(n, successors);
+	g_array_unref(successors);
 }
 
 /* An heir has taken our ids. */
-void holds_on_handed(struct member_node *n, const struct member_msg *msg)
+void holds_on_ids_ack(struct member_node *n, const struct member_msg *msg)
 {
 	if (n->resigning)
-		g_array_append_val(n->handed, msg->from);
+		g_array_append_val(n->ids_acked_by, msg->from);
 }
 
 /*
  * Whether every heir has our ids, or has had time enough. Heirs that take over
  * without them must answer "unknown" to each id that they do not know.
  */
-bool holds_handed_over(const struct member_node *n)
+bool holds_hand_over_is_done(const struct member_node *n)
 {
-	GArray *heirs;
+	GArray *successors;
 	bool all = true;
 	uint32_t i;
 
-	if (!n->handed_over_ms)
+	if (!n->hand_over_since_ms)
 		return false;
-	if (n->now_ms - n->handed_over_ms >= HAND_OVER_MS)
+	if (n->now_ms - n->hand_over_since_ms >= HAND_OVER_TIMEOUT_MS)
 		return true;
-	heirs = witness_successors(n, n->self);
-	for (i = 0; i < heirs->len; i++)
-		all = all &&
-		      ids_contain(n->handed, g_array_index(heirs, int64_t, i));
-	g_array_unref(heirs);
+	successors = witness_successors(n, n->self);
+	for (i = 0; i < successors->len; i++)
+		all = all && ids_contain(n->ids_acked_by,
+					 g_array_index(successors, int64_t, i));
+	g_array_unref(successors);
 	return all;
 }
 
 /* Whether we serve no shard and let none go. */
-bool holds_idle(const struct member_node *n)
+bool holds_is_idle(const struct member_node *n)
 {
 	uint32_t i;
 
@@ -493,19 +500,19 @@
 	return true;
 }
 
-static void follow_settling(struct member_node *n, uint32_t i)
+static void update_unsettled_since(struct member_node *n, uint32_t i)
 {
 	struct hold *h = &n->holds[i];
 
-	if (holds_shard(n, i)->owner != n->self || holds_cleared(n, i))
+	if (holds_shard(n, i)->owner != n->self || holds_can_settle(n, i))
 		h->unsettled_since_ms = 0;
 	else if (!h->unsettled_since_ms)
 		h->unsettled_since_ms = n->now_ms;
 }
 
-struct unsettled member_unsettled(const struct member_node *n)
+struct unsettled_moves member_unsettled_moves(const struct member_node *n)
 {
-	struct unsettled out = { 0 };
+	struct unsettled_moves out = { 0 };
 	uint32_t i;
 
 	for (i = 0; n->self && i < n->n_holds; i++) {
@@ -524,13 +531,13 @@
 
 static void note_unsettled(struct member_node *n)
 {
-	struct unsettled u;
+	struct unsettled_moves u;
 
-	if (n->now_ms < n->next_unsettled_ms)
+	if (n->now_ms < n->next_unsettled_note_ms)
 		return;
-	n->next_unsettled_ms = n->now_ms + NOTE_UNSETTLED_MS;
-	u = member_unsettled(n);
-	if (u.n && n->now_ms - u.since_ms >= NOTE_UNSETTLED_MS)
+	n->next_unsettled_note_ms = n->now_ms + UNSETTLED_NOTE_INTERVAL_MS;
+	u = member_unsettled_moves(n);
+	if (u.n && n->now_ms - u.since_ms >= UNSETTLED_NOTE_INTERVAL_MS)
 		member_note(n, NOTE_UNSETTLED, u.shard);
 }
 
@@ -541,15 +548,16 @@
 
 	holds_resize(n);
 	for (i = 0; i < n->n_holds; i++) {
-		update(n, i);
-		follow_settling(n, i);
+		update_hold(n, i);
+		update_unsettled_since(n, i);
 	}
 	note_unsettled(n);
-	if (n->releases->len)
-		tell_released(n);
-	if (n->self && n->now_ms >= n->next_ask_ms) {
-		n->next_ask_ms = n->now_ms + ASK_INTERVAL_MS;
-		send_asks(n);
+	if (n->unsent_releases->len)
+		send_unsent_releases(n);
+	if (n->self && n->now_ms >= n->next_release_request_ms) {
+		n->next_release_request_ms =
+			n->now_ms + RELEASE_REQUEST_INTERVAL_MS;
+		send_release_requests(n);
 	}
 }
 
@@ -566,7 +574,7 @@
 }
 
 /* Serve nothing any more: we are no member, or never can be again. */
-void holds_drop_all(struct member_node *n)
+void holds_reset(struct member_node *n)
 {
 	uint32_t i;
 
@@ -576,13 +584,14 @@
 		memset(&n->holds[i], 0, sizeof(n->holds[i]));
 		n->holds[i].busy_until_ms = busy_until_ms;
 	}
-	g_array_set_size(n->releases, 0);
+	g_array_set_size(n->unsent_releases, 0);
 }
 
 /* A new owner asks whether we still serve some shards. */
-void holds_on_ask(struct member_node *n, const struct member_msg *msg)
+void holds_on_release_request(struct member_node *n,
+			      const struct member_msg *msg)
 {
-	GArray *free_shards;
+	GArray *released;
 	uint32_t i;
 
 	/* What we have not read yet may give us a shard: catch up first. */
@@ -590,24 +599,25 @@
 		sync_fetch(n, msg->from);
 		return;
 	}
-	free_shards = g_array_new(FALSE, FALSE, sizeof(int64_t));
+	released = g_array_new(FALSE, FALSE, sizeof(int64_t));
 	for (i = 0; msg->list && i < msg->list->len; i++) {
 		int64_t s = g_array_index(msg->list, int64_t, i);
-		uint8_t step;
+		uint8_t as_successor;
 
-		if (s < 0 || s >= n->n_holds || entitled(n, s, &step))
+		if (s < 0 || s >= n->n_holds ||
+		    is_entitled(n, s, &as_successor))
 			continue;
 		/* Backend servers may hold what an earlier process gave. */
 		if (n->holds[s].state == HOLD_NONE &&
 		    (!n->ops->in_flight(n->ops_user, s) ||
 		     !rule_on(n, RULE_REQUESTS_END_FIRST)))
-			g_array_append_val(free_shards, s);
+			g_array_append_val(released, s);
 	}
-	send_release(n, msg->from, free_shards);
-	g_array_unref(free_shards);
+	send_release(n, msg->from, released);
+	g_array_unref(released);
 }
 
-static void take_ids(struct member_node *n, const struct member_msg *msg)
+static void import_msg_ids(struct member_node *n, const struct member_msg *msg)
 {
 	uint32_t i;
 
@@ -620,23 +630,23 @@
 		if (e[1])
 			n->ops->import_ids(n->ops_user, e);
 		else
-			n->holds[e[0]].blind_since_ms = n->now_ms - e[2];
+			n->holds[e[0]].ids_unknown_since_ms = n->now_ms - e[2];
 	}
 }
 
-static void learn_ids(const struct shard *sh, struct hold *h,
-		      const struct member_msg *msg)
+static void mark_ids_known(const struct shard *sh, struct hold *h,
+			   const struct member_msg *msg)
 {
 	if (!(msg->flags & RELEASE_HAS_IDS))
 		return;
 	if (msg->from == sh->from) {
 		h->has_ids = true;
-		h->blind_since_ms = 0;
+		h->ids_unknown_since_ms = 0;
 	}
 	if (msg->from == sh->owner) {
-		h->ids_from = msg->from;
-		h->ids_fence = sh->fence;
-		h->blind_since_ms = 0;
+		h->ids_sender = msg->from;
+		h->ids_sender_fence = sh->fence;
+		h->ids_unknown_since_ms = 0;
 	}
 }
 
@@ -648,30 +658,30 @@
 	struct predecessors p[MAX_PREDECESSORS];
 	uint32_t k;
 
-	follow_fence(h, sh);
+	reset_on_new_fence(h, sh);
 	/* A leaving owner's word that the record of its leaving overtook. */
 	if ((msg->flags & RELEASE_HAS_IDS) && sh->owner == n->self &&
-	    msg->from == h->owner_before) {
+	    msg->from == h->moved_from) {
 		h->has_ids = true;
-		h->blind_since_ms = 0;
+		h->ids_unknown_since_ms = 0;
 	}
 	if (msg->offset < sh->fence)
 		return;
 	if (h->state != HOLD_HELD)
-		learn_ids(sh, h, msg);
+		mark_ids_known(sh, h, msg);
 	/*
 	 * Also of a shard that is served: when it is named another heir before
 	 * its move is settled, its predecessors are asked once more.
 	 */
-	predecessors_of(sh, p);
+	get_predecessors(sh, p);
 	for (k = 0; k < MAX_PREDECESSORS; k++) {
-		if (msg->from == p[k].from)
-			h->clear |= p[k].from_bit;
-		if (msg->from == p[k].from &&
+		if (msg->from == p[k].owner)
+			h->released_by |= p[k].owner_bit;
+		if (msg->from == p[k].owner &&
 		    (msg->flags & RELEASE_CLEARS_SUCCESSOR))
-			h->clear |= p[k].successor_bit;
+			h->released_by |= p[k].successor_bit;
 		if (msg->from == p[k].successor)
-			h->clear |= p[k].successor_bit;
+			h->released_by |= p[k].successor_bit;
 	}
 }
 
@@ -679,7 +689,7 @@
 void holds_on_release(struct member_node *n, const struct member_msg *msg)
 {
 	struct member_msg answer;
-	bool handed = false;
+	bool ids_received = false;
 	uint32_t i;
 
 	for (i = 0; msg->list && i < msg->list->len; i++) {
@@ -688,10 +698,11 @@
 		if (s < 0 || s >= n->n_holds)
 			continue;
 		on_shard_released(n, s, msg);
-		handed = handed || holds_shard(n, s)->owner == msg->from;
+		ids_received = ids_received ||
+			       holds_shard(n, s)->owner == msg->from;
 	}
-	take_ids(n, msg);
-	if (handed) {
+	import_msg_ids(n, msg);
+	if (ids_received) {
 		member_msg_init(&answer, MSG_HANDED);
 		member_send(n, msg->from, &answer);
 	}
@@ -725,21 +736,22 @@
 	return true;
 }
 
-bool member_awaits(const struct member_node *n, uint32_t shard)
+bool member_is_acquiring(const struct member_node *n, uint32_t shard)
 {
-	uint8_t step;
+	uint8_t as_successor;
 
 	if (shard >= n->n_holds)
 		return false;
-	return n->holds[shard].state != HOLD_HELD && entitled(n, shard, &step);
+	return n->holds[shard].state != HOLD_HELD &&
+	       is_entitled(n, shard, &as_successor);
 }
 
-bool member_expects(const struct member_node *n, uint32_t shard)
+bool member_expects_to_own(const struct member_node *n, uint32_t shard)
 {
 	const struct member *owner;
-	uint8_t step;
+	uint8_t as_successor;
 
-	if (shard >= n->n_holds || entitled(n, shard, &step))
+	if (shard >= n->n_holds || is_entitled(n, shard, &as_successor))
 		return shard < n->n_holds;
 	if (n->self || !n->want_member)
 		return false;
--- a/member/internal.h
+++ b/member/internal.h
@@ -76,34 +76,36 @@
 /* holds.c */
 void holds_tick(struct member_node *n);
 void holds_resize(struct member_node *n);
-void holds_drop_all(struct member_node *n);
-void holds_on_ask(struct member_node *n, const struct member_msg *msg);
+void holds_reset(struct member_node *n);
+void holds_on_release_request(struct member_node *n,
+			      const struct member_msg *msg);
 void holds_on_release(struct member_node *n, const struct member_msg *msg);
 struct shard *holds_shard(const struct member_node *n, uint32_t i);
-bool holds_granted(const struct member_node *n);
-bool holds_cleared(const struct member_node *n, uint32_t shard);
-bool holds_idle(const struct member_node *n);
+bool holds_servers_report_grants(const struct member_node *n);
+bool holds_can_settle(const struct member_node *n, uint32_t shard);
+bool holds_is_idle(const struct member_node *n);
 void holds_hand_over(struct member_node *n);
-bool holds_handed_over(const struct member_node *n);
-void holds_on_handed(struct member_node *n, const struct member_msg *msg);
+bool holds_hand_over_is_done(const struct member_node *n);
+void holds_on_ids_ack(struct member_node *n, const struct member_msg *msg);
 
 /* busy.c */
 int64_t holds_guard_ms(const struct member_node *n);
-void holds_on_moved(struct member_node *n, const struct fleet_event *ev);
-void holds_on_successor_gone(struct member_node *n,
+void holds_on_shard_moved(struct member_node *n, const struct fleet_event *ev);
+void holds_on_successor_removed(struct member_node *n,
+				const struct fleet_event *ev);
+void holds_on_member_removed(struct member_node *n,
 			     const struct fleet_event *ev);
-void holds_on_gone(struct member_node *n, const struct fleet_event *ev);
 
 /* propose.c */
 void propose_tick(struct member_node *n);
 
 /* sync.c */
 void sync_tick(struct member_node *n);
-void sync_heard(struct member_node *n, int64_t peer, int64_t applied);
+void sync_on_peer_offset(struct member_node *n, int64_t peer, int64_t applied);
 void sync_fetch(struct member_node *n, int64_t peer);
-void sync_remember(struct member_node *n, int64_t offset, const char *append_id,
-		   const json_t *record);
-void sync_on_ask(struct member_node *n, const struct member_msg *msg);
+void sync_cache_record(struct member_node *n, int64_t offset,
+		       const char *append_id, const json_t *record);
+void sync_on_request(struct member_node *n, const struct member_msg *msg);
 void sync_on_records(struct member_node *n, const struct member_msg *msg);
 void sync_on_state(struct member_node *n, const struct member_msg *msg);
 void cached_record_free(gpointer p);
--- a/member/member.c
+++ b/member/member.c
@@ -36,14 +36,14 @@
 	n->rand = g_rand_new_with_seed(seed);
 	/* We cannot know how long ago a record read at the start was made. */
 	n->quiet_until_ms = now_ms + member_wait_ms(n);
-	n->snapshot_seen_ms = now_ms;
-	n->balance_since_ms = now_ms;
+	n->snapshot_seen_at_ms = now_ms;
+	n->unbalanced_since_ms = now_ms;
 	n->vouches = g_array_new(FALSE, FALSE, sizeof(struct vouch));
 	n->watches = g_array_new(FALSE, FALSE, sizeof(struct watch));
 	n->proofs = g_array_new(FALSE, FALSE, sizeof(struct proof));
 	n->stopped = g_array_new(FALSE, FALSE, sizeof(int64_t));
-	n->releases = g_array_new(FALSE, FALSE, sizeof(int64_t));
-	n->handed = g_array_new(FALSE, FALSE, sizeof(int64_t));
+	n->unsent_releases = g_array_new(FALSE, FALSE, sizeof(int64_t));
+	n->ids_acked_by = g_array_new(FALSE, FALSE, sizeof(int64_t));
 	n->own_before = g_array_new(FALSE, FALSE, sizeof(int64_t));
 	n->followers = g_array_new(FALSE, FALSE, sizeof(int64_t));
 	n->relays = g_array_new(FALSE, FALSE, sizeof(int64_t));
@@ -60,8 +60,8 @@
 	g_array_unref(n->watches);
 	g_array_unref(n->proofs);
 	g_array_unref(n->stopped);
-	g_array_unref(n->releases);
-	g_array_unref(n->handed);
+	g_array_unref(n->unsent_releases);
+	g_array_unref(n->ids_acked_by);
 	g_array_unref(n->own_before);
 	g_array_unref(n->followers);
 	g_array_unref(n->relays);
@@ -69,7 +69,7 @@
 	g_queue_free_full(n->cache, cached_record_free);
 	g_free(n->holds);
 	json_decref(n->changes);
-	json_decref(n->wanted);
+	json_decref(n->operators_document);
 	memset(n, 0, sizeof(*n));
 }
 
@@ -104,14 +104,14 @@
 /* Be no member any more: hold nothing, vouch for nobody. */
 void member_leave_incarnation(struct member_node *n)
 {
-	holds_drop_all(n);
+	holds_reset(n);
 	g_array_set_size(n->vouches, 0);
 	g_array_set_size(n->proofs, 0);
 	n->self = 0;
 	n->had_lease = false;
 	n->no_lease_since_ms = 0;
-	n->handed_over_ms = 0;
-	g_array_set_size(n->handed, 0);
+	n->hand_over_since_ms = 0;
+	g_array_set_size(n->ids_acked_by, 0);
 	n->denied.n = 0;
 	n->leased = false;
 }
@@ -159,14 +159,14 @@
 		on_joined(n, ev->member);
 		break;
 	case FLEET_MEMBER_GONE:
-		holds_on_gone(n, ev);
+		holds_on_member_removed(n, ev);
 		on_gone(n, ev->member);
 		break;
 	case FLEET_SHARD_MOVED:
-		holds_on_moved(n, ev);
+		holds_on_shard_moved(n, ev);
 		break;
 	case FLEET_SUCCESSOR_GONE:
-		holds_on_successor_gone(n, ev);
+		holds_on_successor_removed(n, ev);
 		break;
 	default:
 		break;
@@ -212,9 +212,9 @@
 		/* Whoever wrote it goes on; the others wait anew. */
 		n->published_since_ms = n->now_ms;
 	}
-	sync_remember(n, offset, append_id, record);
+	sync_cache_record(n, offset, append_id, record);
 	if (n->fleet.snapshot_offset != snapshot)
-		n->snapshot_seen_ms = n->now_ms;
+		n->snapshot_seen_at_ms = n->now_ms;
 	witness_refresh(n);
 	return err;
 }
@@ -334,12 +334,12 @@
 	const struct member *m = fleet_member(&n->fleet, n->self);
 	uint32_t i;
 
-	if (!m || !n->resigning || !holds_idle(n) ||
+	if (!m || !n->resigning || !holds_is_idle(n) ||
 	    n->now_ms < n->next_resign_ms)
 		return;
 	n->next_resign_ms = n->now_ms + RESIGN_INTERVAL_MS;
 	holds_hand_over(n);
-	if (!holds_handed_over(n))
+	if (!holds_hand_over_is_done(n))
 		return;
 	for (i = 0; i < m->witnesses.n; i++)
 		send_resign(n, m->witnesses.id[i]);
@@ -392,18 +392,23 @@
 typedef void (*msg_handler)(struct member_node *, const struct member_msg *);
 
 static const msg_handler handlers[MSG_N_TYPES] = {
-	[MSG_VOUCH_ASK] = witness_on_ask,    [MSG_VOUCH] = lease_on_vouch,
-	[MSG_STOPPED] = takeover_on_stopped, [MSG_RESIGN] = witness_on_resign,
-	[MSG_RECORDS_ASK] = sync_on_ask,     [MSG_RECORDS] = sync_on_records,
-	[MSG_STATE] = sync_on_state,	     [MSG_RELEASE_ASK] = holds_on_ask,
-	[MSG_RELEASE] = holds_on_release,    [MSG_HANDED] = holds_on_handed,
+	[MSG_VOUCH_ASK] = witness_on_ask,
+	[MSG_VOUCH] = lease_on_vouch,
+	[MSG_STOPPED] = takeover_on_stopped,
+	[MSG_RESIGN] = witness_on_resign,
+	[MSG_RECORDS_ASK] = sync_on_request,
+	[MSG_RECORDS] = sync_on_records,
+	[MSG_STATE] = sync_on_state,
+	[MSG_RELEASE_ASK] = holds_on_release_request,
+	[MSG_RELEASE] = holds_on_release,
+	[MSG_HANDED] = holds_on_ids_ack,
 };
 
 void member_on_message(struct member_node *n, const struct member_msg *msg,
 		       int64_t now_ms)
 {
 	n->now_ms = MAX(n->now_ms, now_ms);
-	sync_heard(n, msg->from, msg->applied);
+	sync_on_peer_offset(n, msg->from, msg->applied);
 	/*
 	 * A process started again has forgotten what its earlier self
 	 * promised. Answering for that self would let a vouch follow a
@@ -450,7 +455,7 @@
 {
 	if (!n->self)
 		return true;
-	return n->resigning && holds_idle(n) && lease_is_lost(n);
+	return n->resigning && holds_is_idle(n) && lease_is_lost(n);
 }
 
 static uint32_t add_candidate(const struct member_node *n, int64_t id,
--- a/member/member.h
+++ b/member/member.h
@@ -34,27 +34,27 @@
 
 enum hold_state {
 	HOLD_NONE, /* not served here */
-	HOLD_WAITING, /* ours by the log, others may still serve it */
+	HOLD_ACQUIRING, /* ours by the log, others may still serve it */
 	HOLD_HELD, /* served here while the lease lasts */
 	HOLD_RELEASING, /* no new requests; those in flight end */
 };
 
-#define CLEAR_FROM 1
-#define CLEAR_SUCCESSOR 2
+#define RELEASED_BY_PREV_OWNER 1
+#define RELEASED_BY_PREV_SUCCESSOR 2
 /* The same for the move before, when that was not settled. */
-#define CLEAR_EARLIER_FROM 4
-#define CLEAR_EARLIER_SUCCESSOR 8
+#define RELEASED_BY_OLDER_OWNER 4
+#define RELEASED_BY_OLDER_SUCCESSOR 8
 
 /* What this node does about one shard of its service. */
 struct hold {
 	enum hold_state state;
-	uint8_t clear; /* CLEAR_*: predecessors known not to serve */
-	uint8_t step; /* 1: held as successor, ahead of the log */
+	uint8_t released_by; /* RELEASED_BY_*: predecessors known not to serve */
+	uint8_t as_successor; /* 1: held as successor, ahead of the log */
 	bool has_ids; /* the ids seen before us are known here */
-	int64_t ids_from; /* the owner that handed them over on leaving */
-	int64_t ids_fence; /* and the fence that it held the shard under */
-	int64_t owner_before; /* the owner that the log took the shard from */
-	int64_t fence; /* the shard's fence that clear belongs to */
+	int64_t ids_sender; /* the owner that handed them over on leaving */
+	int64_t ids_sender_fence; /* and the fence that it held the shard under */
+	int64_t moved_from; /* the owner that the log took the shard from */
+	int64_t move_fence; /* the shard's fence that clear belongs to */
 	/*
 	 * What it is served under. Not the shard's own fence: an owner that
 	 * serves on until its witnesses know of a move must not do so under
@@ -66,13 +66,13 @@
 	 * then. Kept for shards of others too, since they may yet become ours.
 	 */
 	int64_t busy_until_ms;
-	int64_t blind_since_ms; /* ids from before are not known; 0 none */
+	int64_t ids_unknown_since_ms; /* ids from before are not known; 0 none */
 	int64_t held_since_ms;
 	int64_t unsettled_since_ms; /* its predecessors are waited for; 0 not */
 };
 
 /* Moves to us whose predecessors have not all said that they stopped. */
-struct unsettled {
+struct unsettled_moves {
 	uint32_t n;
 	uint32_t shard; /* the one that waits longest */
 	int64_t since_ms; /* 0: none waits */
@@ -189,20 +189,22 @@
 	int64_t quiet_until_ms; /* no shard is acquired before */
 	int64_t next_vouch_ms;
 	int64_t next_join_ms;
-	int64_t next_ask_ms;
+	int64_t next_release_request_ms;
 	int64_t next_resign_ms;
-	int64_t next_unsettled_ms; /* when an unsettled move is noted again */
-	GArray *handed; /* int64_t heirs that have our ids */
+	int64_t next_unsettled_note_ms; /* when an unsettled move is noted again
+					 */
+	GArray *ids_acked_by; /* int64_t heirs that have our ids */
 	/* int64_t earlier incarnations of this host, seen to go */
 	GArray *own_before;
-	int64_t handed_over_ms; /* first told our heirs that we leave; 0 not */
+	int64_t hand_over_since_ms; /* first told our heirs that we leave; 0 not
+				     */
 	int64_t behind_since_ms; /* a peer is known to be ahead; 0 not */
 	int64_t ahead_peer;
 	int64_t ahead_applied;
-	int64_t balance_since_ms;
-	int64_t snapshot_seen_ms;
+	int64_t unbalanced_since_ms;
+	int64_t snapshot_seen_at_ms;
 	int64_t last_join_ms; /* somebody of our service joined */
-	int64_t unplaced_since_ms; /* our service has shards of nobody; 0 not */
+	int64_t unowned_since_ms; /* our service has shards of nobody; 0 not */
 	int64_t published_source; /* -1: operators published nothing */
 	int64_t published_since_ms;
 	uint32_t published_bytes;
@@ -210,16 +212,16 @@
 	json_t *changes;
 	int64_t changes_base;
 	int64_t changes_source;
-	bool changes_whole;
+	bool changes_complete;
 	/* What operators published, worked out once for all parts; or NULL. */
-	json_t *wanted;
-	int64_t wanted_source;
+	json_t *operators_document;
+	int64_t operators_document_source;
 	int64_t next_append_ms[N_APPEND_KINDS];
 	uint32_t conflicts[N_APPEND_KINDS]; /* in a row */
 	bool append_pending[N_APPEND_KINDS];
 	GPtrArray *snapshot_parts; /* json_t * still to be appended */
-	int64_t snapshot_cut; /* the offset that they stand for */
-	bool snapshot_begun; /* some of them are in the log */
+	int64_t pending_snapshot_offset; /* the offset that they stand for */
+	bool snapshot_partly_written; /* some of them are in the log */
 	GArray *vouches; /* struct vouch */
 	GArray *watches; /* struct watch */
 	GArray *proofs; /* struct proof */
@@ -229,16 +231,18 @@
 	GQueue *cache; /* struct cached_record, newest last */
 	uint32_t cache_bytes;
 	int64_t next_fetch_ms;
-	bool read_now; /* there is news, and it is to be read from the log */
-	int64_t next_readers_ms; /* when the four below are worked out anew */
-	bool is_reader; /* we are one of those who wait for news at the log */
+	bool log_read_due; /* there is news, and it is to be read from the log */
+	int64_t next_relay_update_ms; /* when the four below are worked out anew
+				       */
+	bool is_log_reader; /* we are one of those who wait for news at the log */
 	bool is_relay; /* we pass on what readers pass on to us */
 	GArray *relays; /* int64_t members; a reader passes records on to them */
 	GArray *followers; /* int64_t members that we pass records on to */
-	int64_t told_ms; /* we last had word of the log; it may be of no news */
-	int64_t next_relay_word_ms; /* when we send such a word to relays */
-	int64_t next_follower_word_ms; /* and when to followers */
-	GArray *releases; /* int64_t shards released since last told */
+	int64_t last_relay_at_ms; /* we last had word of the log; it may be of
+				     no news */
+	int64_t next_relay_keepalive_ms; /* when we send such a word to relays */
+	int64_t next_follower_keepalive_ms; /* and when to followers */
+	GArray *unsent_releases; /* int64_t shards released since last told */
 	uint32_t disabled_rules; /* tests only */
 	fleet_event_fn on_event; /* audit */
 	void *on_event_user;
@@ -304,11 +308,11 @@
  * Give shards of ours (uint32_t) to another member, by a record to the log.
  * Returns whether one goes out; those that are not ours or not settled stay.
  */
-bool member_give(struct member_node *n, int64_t to, const GArray *shards,
-		 int64_t now_ms);
+bool member_move_shards(struct member_node *n, int64_t to, const GArray *shards,
+			int64_t now_ms);
 
 /* Whether a shard is ours, served and settled, so that it may be given. */
-bool member_may_give(const struct member_node *n, uint32_t shard);
+bool member_can_move_shard(const struct member_node *n, uint32_t shard);
 
 /* Name the life of our backend server, before asking to be a member. */
 void member_set_life(struct member_node *n, const char *life);
@@ -345,13 +349,13 @@
  * all there is, and would go to every host of a large fleet over its link;
  * those that are first to propose it do, and the others hear of what changes.
  */
-bool member_reads_operators(const struct member_node *n);
+bool member_reads_operator_stream(const struct member_node *n);
 
 /* Whether those who pass records on to us told lately that they hear of all. */
-bool member_is_told(const struct member_node *n);
+bool member_has_live_relay(const struct member_node *n);
 
 /* Records from an offset on were read from the log: pass them on. */
-void member_pass_on(struct member_node *n, int64_t offset);
+void member_relay_records(struct member_node *n, int64_t offset);
 
 /* Whether our lease rests on reads of the log. */
 bool member_needs_log(const struct member_node *n);
@@ -377,16 +381,16 @@
  * The moves to us that are not settled. While there is one, nothing of the
  * service is balanced.
  */
-struct unsettled member_unsettled(const struct member_node *n);
+struct unsettled_moves member_unsettled_moves(const struct member_node *n);
 
 /* Whether a shard is ours by the log, and others may still be serving it. */
-bool member_awaits(const struct member_node *n, uint32_t shard);
+bool member_is_acquiring(const struct member_node *n, uint32_t shard);
 
 /*
  * Whether a shard is ours by the log, or was of the process before this one
  * beside the same backend server, whose place we are about to take.
  */
-bool member_expects(const struct member_node *n, uint32_t shard);
+bool member_expects_to_own(const struct member_node *n, uint32_t shard);
 
 /* Whether a member is known to have stopped though the log still lists it. */
 bool member_known_stopped(const struct member_node *n, int64_t id);
--- a/member/propose.c
+++ b/member/propose.c
@@ -8,18 +8,18 @@
 #include "util/result.h"
 
 #define RANK_STEP_MS 300
-#define BALANCE_EVERY_MS 1000
+#define BALANCE_INTERVAL_MS 1000
 #define BALANCE_RANK_STEP_MS 3000
-#define WITNESS_WAIT_MS 500
+#define WITNESS_CHANGE_DELAY_MS 500
 #define RETRY_MS 500
-#define LEASELESS_LEASES 1
+#define REJOIN_AFTER_LEASES 1
 /* A vouch takes some milliseconds; two questions can be lost by chance. */
-#define UNANSWERED_ASKS 3
-#define SPREAD_PER_MEMBER_MS 20
+#define UNANSWERED_REQUESTS 3
+#define JITTER_PER_MEMBER_MS 20
 #define SNAPSHOT_PART_BYTES (64 * 1024)
 /* Of the records between snapshots: how much longer the next by rank waits. */
-#define SNAPSHOT_RANK_SHARE 8
-#define LOG_WITNESSED_LAPSES 2
+#define SNAPSHOT_RANK_DIVISOR 8
+#define LOG_WITNESSED_WAITS 2
 /* What a record may take once it is compressed; the store bounds it. */
 #define CHANGES_MAX_BYTES (192 * 1024)
 /*
@@ -27,29 +27,29 @@
  * join at once, and a snapshot cannot follow what it does not hold: there each
  * further time in a row may wait twice as long.
  */
-#define CONFLICT_MS 30
+#define CONFLICT_BACKOFF_MS 30
 #define CONFLICT_DOUBLINGS 5
 /* Whom operators' changes wait for, one after the other: they are urgent. */
-#define PUBLISH_STEP_MS 150
+#define PUBLISH_RANK_STEP_MS 150
 #define PUBLISH_BYTES_PER_MS 1024
-#define PUBLISH_STEP_MORE_MS 450
-#define PUBLISH_STRANGER_MS 400
+#define PUBLISH_RANK_STEP_EXTRA_MS 450
+#define PUBLISH_NON_MEMBER_DELAY_MS 400
 /* Those that are no members have no rank, and may be many. */
-#define PUBLISH_SPREAD_MS 1000
+#define PUBLISH_NON_MEMBER_SPREAD_MS 1000
 /* Where nobody has joined yet, all hosts start at about the same time. */
 #define FIRST_JOIN_SPREAD_MS 1000
 /* Backend servers announce themselves within about a second of each other. */
-#define PLACE_QUIET_MS 1200
-#define PLACE_LATEST_MS 4000
+#define PLACE_AFTER_JOIN_MS 1200
+#define PLACE_MAX_WAIT_MS 4000
 
 /*
  * Appends spread over a time that grows with the fleet, so that an outage of
  * the log does not end in a rush from every node: at most 1000/20 = 50 a
  * second from the whole fleet for any one cause.
  */
-static int64_t spread_ms(struct member_node *n)
+static int64_t append_jitter_ms(struct member_node *n)
 {
-	int32_t range = fleet_n_members(&n->fleet) * SPREAD_PER_MEMBER_MS;
+	int32_t range = fleet_n_members(&n->fleet) * JITTER_PER_MEMBER_MS;
 
 	return g_rand_int_range(n->rand, 0, MAX(range, 200));
 }
@@ -65,13 +65,13 @@
 	return !n->append_pending[kind] && n->now_ms >= n->next_append_ms[kind];
 }
 
-static int64_t conflict_ms(struct member_node *n, enum append_kind kind)
+static int64_t conflict_backoff_ms(struct member_node *n, enum append_kind kind)
 {
 	uint32_t doublings = MIN(n->conflicts[kind]++, CONFLICT_DOUBLINGS);
 
 	if (kind != APPEND_JOIN && kind != APPEND_SNAPSHOT)
 		doublings = 0;
-	return g_rand_int_range(n->rand, 0, CONFLICT_MS << doublings);
+	return g_rand_int_range(n->rand, 0, CONFLICT_BACKOFF_MS << doublings);
 }
 
 void member_append_done(struct member_node *n, enum append_kind kind,
@@ -80,7 +80,8 @@
 	n->now_ms = MAX(n->now_ms, now_ms);
 	n->append_pending[kind] = false;
 	if (kind == APPEND_SNAPSHOT && n->snapshot_parts->len) {
-		n->snapshot_begun = n->snapshot_begun || result == RESULT_OK;
+		n->snapshot_partly_written = n->snapshot_partly_written ||
+					     result == RESULT_OK;
 		if (result == RESULT_OK)
 			g_ptr_array_remove_index(n->snapshot_parts, 0);
 		else if (result != RESULT_CONFLICT)
@@ -102,15 +103,16 @@
 		return;
 	}
 	if (result == RESULT_CONFLICT) {
-		n->next_append_ms[kind] = n->now_ms + conflict_ms(n, kind);
+		n->next_append_ms[kind] =
+			n->now_ms + conflict_backoff_ms(n, kind);
 		n->next_join_ms = MIN(n->next_join_ms, n->now_ms);
 		return;
 	}
-	n->next_append_ms[kind] = n->now_ms + RETRY_MS + spread_ms(n);
+	n->next_append_ms[kind] = n->now_ms + RETRY_MS + append_jitter_ms(n);
 }
 
 /* Members that joined since we first read the log: they are running now. */
-static uint32_t n_fresh(const struct member_node *n)
+static uint32_t count_new_members(const struct member_node *n)
 {
 	uint32_t count = 0;
 	struct member *m;
@@ -122,8 +124,8 @@
 	return count;
 }
 
-static uint32_t n_replaced(const struct member_node *n,
-			   const struct witness_set *w)
+static uint32_t count_replaced_witnesses(const struct member_node *n,
+					 const struct witness_set *w)
 {
 	uint32_t count = 0;
 	uint32_t i;
@@ -142,33 +144,34 @@
  * unanswered, it is better to join with others. Nobody has been served under
  * this incarnation, so nothing is lost by ending it.
  */
-static bool named_the_dead(const struct member_node *n)
+static bool chose_stopped_witnesses(const struct member_node *n)
 {
 	const struct member *m = fleet_member(&n->fleet, n->self);
-	bool patience_over = n->now_ms - n->joined_ms >
-			     UNANSWERED_ASKS * n->timing.vouch_interval_ms;
+	bool is_unanswered = n->now_ms - n->joined_ms >
+			     UNANSWERED_REQUESTS * n->timing.vouch_interval_ms;
 
-	if (n->leased || !n->log_up || !m || n_fresh(n) < FLEET_WITNESSES)
+	if (n->leased || !n->log_up || !m ||
+	    count_new_members(n) < FLEET_WITNESSES)
 		return false;
-	return patience_over ||
-	       n_replaced(n, &m->witnesses) > m->witnesses.n / 2;
+	return is_unanswered ||
+	       count_replaced_witnesses(n, &m->witnesses) > m->witnesses.n / 2;
 }
 
 /* Members above this are preferred as witnesses; 0 where none are. */
-static int64_t newer_than(const struct member_node *n)
+static int64_t preferred_witness_above(const struct member_node *n)
 {
-	return n_fresh(n) >= FLEET_WITNESSES ? n->first_end + 1 : 0;
+	return count_new_members(n) >= FLEET_WITNESSES ? n->first_end + 1 : 0;
 }
 
-static bool must_join_anew(const struct member_node *n)
+static bool must_rejoin(const struct member_node *n)
 {
-	return lease_is_lost(n) || named_the_dead(n) ||
+	return lease_is_lost(n) || chose_stopped_witnesses(n) ||
 	       (n->log_up && n->no_lease_since_ms &&
 		n->now_ms - n->no_lease_since_ms >
-			LEASELESS_LEASES * n->timing.lease_ms);
+			REJOIN_AFTER_LEASES * n->timing.lease_ms);
 }
 
-static void note_silent_witnesses(struct member_node *n)
+static void collect_unresponsive_witnesses(struct member_node *n)
 {
 	uint32_t i;
 
@@ -185,7 +188,7 @@
 
 static void propose_join(struct member_node *n)
 {
-	if (n->self && !must_join_anew(n))
+	if (n->self && !must_rejoin(n))
 		return;
 	if (!n->want_member || n->resigning || !n->log_caught_up)
 		return;
@@ -195,18 +198,18 @@
 			g_rand_int_range(n->rand, 0, FIRST_JOIN_SPREAD_MS);
 	if (!may_append(n, APPEND_JOIN) || n->now_ms < n->next_join_ms)
 		return;
-	n->next_join_ms = n->now_ms + RETRY_MS + spread_ms(n);
+	n->next_join_ms = n->now_ms + RETRY_MS + append_jitter_ms(n);
 	/*
 	 * Other nodes may read our new join record before we do, and take our
 	 * shards. Witnesses that answer late must not revive the old lease
 	 * meanwhile, so the old incarnation ends here, before the append.
 	 */
 	if (n->self) {
-		note_silent_witnesses(n);
+		collect_unresponsive_witnesses(n);
 		member_leave_incarnation(n);
 	}
-	assign_witnesses(&n->fleet, &n->me, &n->unfit, newer_than(n),
-			 &n->me.witnesses);
+	assign_witnesses(&n->fleet, &n->me, &n->unfit,
+			 preferred_witness_above(n), &n->me.witnesses);
 	g_snprintf(n->me.nonce, sizeof(n->me.nonce), "%08x%08x",
 		   g_rand_int(n->rand), g_rand_int(n->rand));
 	member_append(n, APPEND_JOIN, record_join(&n->me));
@@ -215,25 +218,26 @@
 /* Our place among those who inherit from subject; they act one by one. */
 static int64_t expel_delay_ms(const struct member_node *n, int64_t subject)
 {
-	GArray *heirs = witness_successors(n, subject);
+	GArray *successors = witness_successors(n, subject);
 	uint32_t rank = 0;
-	bool among = false;
+	bool is_successor = false;
 	uint32_t i;
 
-	for (i = 0; i < heirs->len; i++) {
-		int64_t id = g_array_index(heirs, int64_t, i);
+	for (i = 0; i < successors->len; i++) {
+		int64_t id = g_array_index(successors, int64_t, i);
 
-		among = among || id == n->self;
+		is_successor = is_successor || id == n->self;
 		rank += id < n->self;
 	}
-	if (!among)
-		rank = heirs->len + assign_rank(&n->fleet, "expel", n->self);
-	g_array_unref(heirs);
+	if (!is_successor)
+		rank = successors->len +
+		       assign_rank(&n->fleet, "expel", n->self);
+	g_array_unref(successors);
 	return MIN(rank, 20) * RANK_STEP_MS;
 }
 
-static bool log_witnessed_silent(const struct member_node *n,
-				 const struct member *m)
+static bool log_witnessed_expired(const struct member_node *n,
+				  const struct member *m)
 {
 	uint32_t i;
 
@@ -254,7 +258,7 @@
 
 		if (w->subject == m->id)
 			return n->now_ms - w->last_ms >
-			       LOG_WITNESSED_LAPSES * member_wait_ms(n) +
+			       LOG_WITNESSED_WAITS * member_wait_ms(n) +
 				       expel_delay_ms(n, m->id);
 	}
 	return false;
@@ -263,8 +267,8 @@
 static bool expel_due(const struct member_node *n, const struct member *m)
 {
 	if (m->id == n->self)
-		return n->resigning && holds_handed_over(n);
-	if (log_witnessed_silent(n, m))
+		return n->resigning && holds_hand_over_is_done(n);
+	if (log_witnessed_expired(n, m))
 		return true;
 	return takeover_proved(n, m->id) &&
 	       n->now_ms >= takeover_proved_since(n, m->id) +
@@ -294,7 +298,8 @@
 		member_append(n, APPEND_EXPEL, record);
 }
 
-static bool witness_unfit(const struct member_node *n, const struct member *m)
+static bool needs_new_witnesses(const struct member_node *n,
+				const struct member *m)
 {
 	uint32_t i;
 
@@ -309,7 +314,8 @@
 	       fleet_n_members(&n->fleet) > FLEET_WITNESSES;
 }
 
-static bool same_set(const struct witness_set *a, const struct witness_set *b)
+static bool witness_sets_equal(const struct witness_set *a,
+			       const struct witness_set *b)
 {
 	uint32_t i;
 
@@ -329,51 +335,53 @@
 	/* The new ones have to vouch before a change is settled. */
 	if (m->old_witnesses.n && lease_may_come_from(n, &m->witnesses))
 		return;
-	if (!witness_unfit(n, m)) {
-		n->next_append_ms[APPEND_WITNESSES] =
-			n->now_ms + WITNESS_WAIT_MS + spread_ms(n);
+	if (!needs_new_witnesses(n, m)) {
+		n->next_append_ms[APPEND_WITNESSES] = n->now_ms +
+						      WITNESS_CHANGE_DELAY_MS +
+						      append_jitter_ms(n);
 		return;
 	}
 	if (!may_append(n, APPEND_WITNESSES))
 		return;
-	assign_witnesses(&n->fleet, m, &n->denied, newer_than(n), &w);
-	if (same_set(&w, &m->witnesses))
+	assign_witnesses(&n->fleet, m, &n->denied, preferred_witness_above(n),
+			 &w);
+	if (witness_sets_equal(&w, &m->witnesses))
 		return;
 	member_append(n, APPEND_WITNESSES,
 		      record_witnesses(n->self, m->witness_offset, &w));
 }
 
 /* The newest offset up to which all that is ours is held by us alone. */
-static int64_t settled_upto(const struct member_node *n, const struct member *m,
-			    bool *useful)
+static int64_t find_settled_offset(const struct member_node *n,
+				   const struct member *m, bool *settles_any)
 {
 	struct fleet_service *s = member_service(n);
 	int64_t upto = n->fleet.applied;
 	uint32_t i;
 
-	*useful = false;
+	*settles_any = false;
 	if (m->old_witnesses.n) {
 		if (lease_witnesses_applied(n, &m->old_witnesses,
 					    m->witness_offset) &&
 		    lease_by_new_witnesses(n, m) && lease_covers_lent(n, m))
-			*useful = true;
+			*settles_any = true;
 		else
 			upto = MIN(upto, m->witness_offset - 1);
 	}
 	for (i = 0; s && i < n->n_holds; i++)
-		if (s->shards[i].owner == n->self && !holds_cleared(n, i))
+		if (s->shards[i].owner == n->self && !holds_can_settle(n, i))
 			upto = MIN(upto, s->shards[i].fence - 1);
 	for (i = 0; s && i < n->n_holds; i++)
-		*useful = *useful ||
-			  (s->shards[i].owner == n->self && s->shards[i].from &&
-			   s->shards[i].fence <= upto);
+		*settles_any = *settles_any || (s->shards[i].owner == n->self &&
+						s->shards[i].from &&
+						s->shards[i].fence <= upto);
 	return upto;
 }
 
 static void propose_settle(struct member_node *n)
 {
 	const struct member *m = fleet_member(&n->fleet, n->self);
-	bool useful;
+	bool settles_any;
 	int64_t upto;
 
 	/*
@@ -385,8 +393,8 @@
 	if (m->old_witnesses.n &&
 	    (n->settling == m->witness_offset || lease_by_new_witnesses(n, m)))
 		lease_prepare_settle(n, m);
-	upto = settled_upto(n, m, &useful);
-	if (!useful)
+	upto = find_settled_offset(n, m, &settles_any);
+	if (!settles_any)
 		return;
 	if (m->old_witnesses.n && m->witness_offset <= upto)
 		n->settle_sent = true;
@@ -412,18 +420,18 @@
 	if (!s || !n->self || !lease_valid(n) || n->resigning ||
 	    !may_append(n, APPEND_BALANCE))
 		return;
-	n->next_append_ms[APPEND_BALANCE] = n->now_ms + BALANCE_EVERY_MS;
+	n->next_append_ms[APPEND_BALANCE] = n->now_ms + BALANCE_INTERVAL_MS;
 	record = all_settled(s)
 			 ? assign_balance(&n->fleet, s, n->timing.move_batch)
 			 : NULL;
 	if (!record) {
-		n->balance_since_ms = n->now_ms;
+		n->unbalanced_since_ms = n->now_ms;
 		return;
 	}
-	wait = BALANCE_EVERY_MS +
+	wait = BALANCE_INTERVAL_MS +
 	       MIN(assign_rank(&n->fleet, s->name, n->self), 20) *
 		       BALANCE_RANK_STEP_MS;
-	if (n->now_ms - n->balance_since_ms < wait) {
+	if (n->now_ms - n->unbalanced_since_ms < wait) {
 		json_decref(record);
 		return;
 	}
@@ -431,7 +439,7 @@
 	member_append(n, APPEND_BALANCE, record);
 }
 
-bool member_may_give(const struct member_node *n, uint32_t shard)
+bool member_can_move_shard(const struct member_node *n, uint32_t shard)
 {
 	const struct fleet_service *s = member_service(n);
 
@@ -439,8 +447,8 @@
 	       !s->shards[shard].from && n->holds[shard].state == HOLD_HELD;
 }
 
-bool member_give(struct member_node *n, int64_t to, const GArray *shards,
-		 int64_t now_ms)
+bool member_move_shards(struct member_node *n, int64_t to, const GArray *shards,
+			int64_t now_ms)
 {
 	const struct fleet_service *s = member_service(n);
 	const struct member *m = fleet_member(&n->fleet, to);
@@ -456,14 +464,14 @@
 	assign_prepare(&n->fleet, s);
 	for (i = 0; i < shards->len; i++) {
 		uint32_t shard = g_array_index(shards, uint32_t, i);
-		int64_t heir;
+		int64_t successor;
 
-		if (!member_may_give(n, shard))
+		if (!member_can_move_shard(n, shard))
 			continue;
-		heir = s->shards[shard].successor;
-		if (!heir || heir == to)
-			heir = n->self;
-		record_move_add(record, shard, to, heir,
+		successor = s->shards[shard].successor;
+		if (!successor || successor == to)
+			successor = n->self;
+		record_move_add(record, shard, to, successor,
 				s->shards[shard].fence);
 		n_items++;
 	}
@@ -474,7 +482,7 @@
 	return n_items;
 }
 
-static void cut_snapshot(struct member_node *n)
+static void create_snapshot_parts(struct member_node *n)
 {
 	json_t *state = fleet_snapshot(&n->fleet);
 	char *text = json_dumps(state, JSON_COMPACT | JSON_ENSURE_ASCII);
@@ -482,8 +490,8 @@
 	uint32_t parts = (len + SNAPSHOT_PART_BYTES - 1) / SNAPSHOT_PART_BYTES;
 	uint32_t i;
 
-	n->snapshot_cut = n->fleet.applied;
-	n->snapshot_begun = false;
+	n->pending_snapshot_offset = n->fleet.applied;
+	n->snapshot_partly_written = false;
 	for (i = 0; i < parts; i++) {
 		size_t at = (size_t)i * SNAPSHOT_PART_BYTES;
 
@@ -498,7 +506,7 @@
 
 static bool snapshot_due(const struct member_node *n)
 {
-	int64_t age = n->now_ms - n->snapshot_seen_ms;
+	int64_t age = n->now_ms - n->snapshot_seen_at_ms;
 	/* One that another has begun to write counts as well. */
 	int64_t records = n->fleet.applied -
 			  MAX(n->fleet.snapshot_offset, n->fleet.snapshot_upto);
@@ -509,8 +517,8 @@
 	if (age >= n->timing.snapshot_interval_ms + rank * BALANCE_RANK_STEP_MS)
 		return true;
 	return records >=
-	       n->timing.snapshot_records +
-		       rank * n->timing.snapshot_records / SNAPSHOT_RANK_SHARE;
+	       n->timing.snapshot_records + rank * n->timing.snapshot_records /
+						    SNAPSHOT_RANK_DIVISOR;
 }
 
 /*
@@ -522,17 +530,18 @@
 	if (!n->self || !may_append(n, APPEND_SNAPSHOT))
 		return;
 	/* Another came first, with the same state or a newer one. */
-	if (n->fleet.snapshot_upto >= n->snapshot_cut + n->snapshot_begun)
+	if (n->fleet.snapshot_upto >=
+	    n->pending_snapshot_offset + n->snapshot_partly_written)
 		g_ptr_array_set_size(n->snapshot_parts, 0);
 	if (!n->snapshot_parts->len && snapshot_due(n))
-		cut_snapshot(n);
+		create_snapshot_parts(n);
 	if (!n->snapshot_parts->len)
 		return;
 	member_append(n, APPEND_SNAPSHOT,
 		      json_incref(g_ptr_array_index(n->snapshot_parts, 0)));
 }
 
-static bool any_unowned(const struct fleet_service *s)
+static bool has_unowned_shard(const struct fleet_service *s)
 {
 	uint32_t i;
 
@@ -549,22 +558,22 @@
 	int64_t wait;
 
 	if (!s || !s->key_numbers || !n->self || n->resigning ||
-	    !any_unowned(s)) {
-		n->unplaced_since_ms = 0;
+	    !has_unowned_shard(s)) {
+		n->unowned_since_ms = 0;
 		return;
 	}
-	if (!n->unplaced_since_ms)
-		n->unplaced_since_ms = n->now_ms;
+	if (!n->unowned_since_ms)
+		n->unowned_since_ms = n->now_ms;
 	wait = MIN(assign_rank(&n->fleet, "place", n->self), 20) * RANK_STEP_MS;
-	if (n->now_ms - n->last_join_ms < PLACE_QUIET_MS + wait &&
-	    n->now_ms - n->unplaced_since_ms < PLACE_LATEST_MS + wait)
+	if (n->now_ms - n->last_join_ms < PLACE_AFTER_JOIN_MS + wait &&
+	    n->now_ms - n->unowned_since_ms < PLACE_MAX_WAIT_MS + wait)
 		return;
 	if (may_append(n, APPEND_PLACE))
 		member_append(n, APPEND_PLACE, record_place(s->name, n->self));
 }
 
 /* Work out what leads from the configuration in force to what is published. */
-static void find_changes(struct member_node *n)
+static void compute_changes(struct member_node *n)
 {
 	json_t *from = n->fleet.document;
 
@@ -572,32 +581,35 @@
 	    n->changes_base == n->fleet.configuration_version)
 		return;
 	json_decref(n->changes);
-	if (!n->wanted || n->wanted_source != n->published_source) {
-		json_decref(n->wanted);
-		n->wanted = n->ops->published(n->ops_user, from);
-		n->wanted_source = n->published_source;
+	if (!n->operators_document ||
+	    n->operators_document_source != n->published_source) {
+		json_decref(n->operators_document);
+		n->operators_document = n->ops->published(n->ops_user, from);
+		n->operators_document_source = n->published_source;
 	}
-	n->changes = n->wanted ? changes_between(from, n->wanted,
-						 CHANGES_MAX_BYTES,
-						 &n->changes_whole)
-			       : NULL;
+	n->changes = n->operators_document
+			     ? changes_between(from, n->operators_document,
+					       CHANGES_MAX_BYTES,
+					       &n->changes_complete)
+			     : NULL;
 	n->changes_base = n->fleet.configuration_version;
 	n->changes_source = n->published_source;
 }
 
 /* It is long, and needed no more once it is in force. */
-static void drop_wanted(struct member_node *n)
+static void discard_operators_document(struct member_node *n)
 {
-	g_clear_pointer(&n->wanted, json_decref);
+	g_clear_pointer(&n->operators_document, json_decref);
 	g_clear_pointer(&n->changes, json_decref);
 	n->changes_source = -1;
 }
 
 /* A host with a tenth of a core needs longer to work out what is longer. */
-static int64_t publish_step_ms(const struct member_node *n)
+static int64_t publish_rank_step_ms(const struct member_node *n)
 {
-	return PUBLISH_STEP_MS + MIN(n->published_bytes / PUBLISH_BYTES_PER_MS,
-				     PUBLISH_STEP_MORE_MS);
+	return PUBLISH_RANK_STEP_MS +
+	       MIN(n->published_bytes / PUBLISH_BYTES_PER_MS,
+		   PUBLISH_RANK_STEP_EXTRA_MS);
 }
 
 /*
@@ -606,28 +618,28 @@
  */
 static void propose_published(struct member_node *n)
 {
-	int64_t wait =
-		PUBLISH_STRANGER_MS +
-		hash_pair(n->me.host, n->published_source) % PUBLISH_SPREAD_MS;
+	int64_t wait = PUBLISH_NON_MEMBER_DELAY_MS +
+		       hash_pair(n->me.host, n->published_source) %
+			       PUBLISH_NON_MEMBER_SPREAD_MS;
 
 	if (n->published_source <= n->fleet.source) {
-		drop_wanted(n);
+		discard_operators_document(n);
 		return;
 	}
 	if (!n->log_caught_up || !may_append(n, APPEND_PUBLISHED))
 		return;
 	if (n->self)
 		wait = assign_rank(&n->fleet, "publish", n->self) *
-		       publish_step_ms(n);
+		       publish_rank_step_ms(n);
 	if (n->now_ms - n->published_since_ms < wait)
 		return;
-	find_changes(n);
+	compute_changes(n);
 	if (!n->changes)
 		return;
 	member_append(n, APPEND_PUBLISHED,
 		      record_changes(n->fleet.configuration_version,
 				     json_incref(n->changes),
-				     n->published_source, n->changes_whole,
+				     n->published_source, n->changes_complete,
 				     n->self));
 }
 
--- a/member/sync.c
+++ b/member/sync.c
@@ -11,37 +11,37 @@
  * identifies a record, so a copy from anybody is as good as the log's own.
  */
 
-#define BEHIND_MS 300
+#define FETCH_DELAY_MS 300
 /*
  * While the log can be read it is asked first: what is long would go out once
  * for each who lacks it over one peer's link, 300 kB eighteen times over one of
  * 10 Mbit/s take four seconds.
  */
-#define BEHIND_LOG_UP_MS 1000
+#define FETCH_DELAY_LOG_UP_MS 1000
 #define CACHE_MAX_BYTES (1024 * 1024)
 #define CACHE_MAX_RECORDS 4096
 #define BATCH_MAX_BYTES (256 * 1024)
 /* What is longer in its short form is read by each; the store's bytes are cheap.
  */
-#define PASS_ON_MAX_BYTES (8 * 1024)
+#define RELAY_MAX_BYTES (8 * 1024)
 /* Text longer than this is compressed; JSON never begins with the mark. */
-#define PLAIN_MAX_BYTES 2048
-#define SHORT_FORM 'z'
-#define READERS_EVERY_MS 500
+#define UNCOMPRESSED_MAX_BYTES 2048
+#define COMPRESSED_MARK 'z'
+#define RELAY_UPDATE_INTERVAL_MS 500
 /* So few wait at the log all of them. */
-#define FEW_MEMBERS 4
+#define ALL_READ_LOG_MAX_MEMBERS 4
 /* Fewer read what operators publish in fleets larger than this. */
-#define ALL_READ_MEMBERS 24
+#define ALL_READ_OPERATORS_MAX_MEMBERS 24
 /* Rarely are all of them gone or cut off from the store at once. */
 #define N_OPERATOR_READERS 12
 /* The first of the readers by rank read for all, so that one may be lost. */
-#define FIRST_READERS 2
+#define N_LOG_READERS 2
 /* Relays read the log themselves once no reader has sent word for so long. */
-#define RELAY_WORD_EVERY_MS 400
-#define RELAY_LACKS_WORD_MS 1500
+#define RELAY_KEEPALIVE_MS 400
+#define RELAY_TIMEOUT_MS 1500
 /* Followers look at it themselves now and then after that. */
-#define FOLLOWER_WORD_EVERY_MS 2000
-#define FOLLOWER_LACKS_WORD_MS 6000
+#define FOLLOWER_KEEPALIVE_MS 2000
+#define FOLLOWER_TIMEOUT_MS 6000
 
 /* Release one cached record. */
 void cached_record_free(gpointer p)
@@ -58,30 +58,30 @@
  * who has nothing is handed the state. So that it need not be read by each
  * because it is long, it is kept without what it holds.
  */
-static char *text_to_keep(const json_t *record)
+static char *text_to_cache(const json_t *record)
 {
 	const char *type = json_string_value(json_object_get(record, "type"));
-	json_t *bare;
+	json_t *without_data;
 	char *text;
 
 	if (g_strcmp0(type, "snapshot"))
 		return json_dumps(record, JSON_COMPACT);
-	bare = json_copy((json_t *)record);
-	json_object_set_new(bare, "data", json_string(""));
-	text = json_dumps(bare, JSON_COMPACT);
-	json_decref(bare);
+	without_data = json_copy((json_t *)record);
+	json_object_set_new(without_data, "data", json_string(""));
+	text = json_dumps(without_data, JSON_COMPACT);
+	json_decref(without_data);
 	return text;
 }
 
 /* Keep a record that was just applied for peers that lack it. */
-void sync_remember(struct member_node *n, int64_t offset, const char *append_id,
-		   const json_t *record)
+void sync_cache_record(struct member_node *n, int64_t offset,
+		       const char *append_id, const json_t *record)
 {
 	struct cached_record *c = g_new0(struct cached_record, 1);
 
 	c->offset = offset;
 	c->append_id = g_strdup(append_id);
-	c->text = text_to_keep(record);
+	c->text = text_to_cache(record);
 	n->cache_bytes += strlen(c->text);
 	g_queue_push_tail(n->cache, c);
 	while (n->cache_bytes > CACHE_MAX_BYTES ||
@@ -93,7 +93,7 @@
 }
 
 /* A peer named the offset that it has applied. */
-void sync_heard(struct member_node *n, int64_t peer, int64_t applied)
+void sync_on_peer_offset(struct member_node *n, int64_t peer, int64_t applied)
 {
 	if (applied <= n->fleet.applied || applied <= n->ahead_applied)
 		return;
@@ -118,7 +118,7 @@
  * may take several; the last one brings us level with it. A peer that has just
  * started itself may be far behind, and to be level with it means nothing.
  */
-static void caught_up_with(struct member_node *n, const struct member_msg *msg)
+static void check_caught_up(struct member_node *n, const struct member_msg *msg)
 {
 	if (n->fleet.applied < msg->applied) {
 		sync_fetch(n, msg->from);
@@ -141,30 +141,30 @@
  * the relays, and each relay to its followers. Each follower has two relays or
  * readers, so that the loss of one goes unnoticed.
  */
-static void refresh_readers(struct member_node *n)
+static void update_relay_tree(struct member_node *n)
 {
 	GArray *all;
 	struct member *m;
 	uint32_t place, i;
 
-	if (n->now_ms < n->next_readers_ms)
+	if (n->now_ms < n->next_relay_update_ms)
 		return;
-	n->next_readers_ms = n->now_ms + READERS_EVERY_MS;
+	n->next_relay_update_ms = n->now_ms + RELAY_UPDATE_INTERVAL_MS;
 	all = assign_readers(&n->fleet);
 	g_array_set_size(n->followers, 0);
 	g_array_set_size(n->relays, 0);
 	for (place = 0; place < all->len; place++)
 		if (g_array_index(all, int64_t, place) == n->self)
 			break;
-	n->is_reader = n->self && place < FIRST_READERS;
-	n->is_relay = n->self && !n->is_reader && place < all->len;
-	for (i = FIRST_READERS; n->is_reader && i < all->len; i++)
+	n->is_log_reader = n->self && place < N_LOG_READERS;
+	n->is_relay = n->self && !n->is_log_reader && place < all->len;
+	for (i = N_LOG_READERS; n->is_log_reader && i < all->len; i++)
 		g_array_append_val(n->relays, g_array_index(all, int64_t, i));
 	for_each_member (&n->fleet, m, i) {
 		uint32_t first = hash_pair("follow", m->id) % all->len;
 		uint32_t second = (first + 1) % all->len;
 
-		if ((n->is_reader || n->is_relay) &&
+		if ((n->is_log_reader || n->is_relay) &&
 		    (first == place || second == place) &&
 		    !ids_contain(all, m->id))
 			g_array_append_val(n->followers, m->id);
@@ -173,60 +173,62 @@
 }
 
 /* Readers may all be gone or cut off, and nobody would notice news. */
-static bool relay_lacks_word(const struct member_node *n)
+static bool relay_timed_out(const struct member_node *n)
 {
-	return n->is_relay && n->now_ms - n->told_ms > RELAY_LACKS_WORD_MS;
+	return n->is_relay &&
+	       n->now_ms - n->last_relay_at_ms > RELAY_TIMEOUT_MS;
 }
 
 /* Whether news of the log reaches us, so that silence means none. */
-static bool hears_of_log(const struct member_node *n)
+static bool follows_log(const struct member_node *n)
 {
-	if (n->is_reader || relay_lacks_word(n))
+	if (n->is_log_reader || relay_timed_out(n))
 		return n->log_up;
 	return n->is_relay;
 }
 
 bool member_reads_log(const struct member_node *n)
 {
-	return !n->self || n->is_reader || relay_lacks_word(n) ||
-	       member_needs_log(n) || fleet_n_members(&n->fleet) <= FEW_MEMBERS;
+	return !n->self || n->is_log_reader || relay_timed_out(n) ||
+	       member_needs_log(n) ||
+	       fleet_n_members(&n->fleet) <= ALL_READ_LOG_MAX_MEMBERS;
 }
 
-bool member_reads_operators(const struct member_node *n)
+bool member_reads_operator_stream(const struct member_node *n)
 {
 	return !n->self || !member_is_current(n) ||
-	       fleet_n_members(&n->fleet) <= ALL_READ_MEMBERS ||
+	       fleet_n_members(&n->fleet) <= ALL_READ_OPERATORS_MAX_MEMBERS ||
 	       assign_rank(&n->fleet, "publish", n->self) < N_OPERATOR_READERS;
 }
 
-bool member_is_told(const struct member_node *n)
+bool member_has_live_relay(const struct member_node *n)
 {
-	int64_t since = n->now_ms - n->told_ms;
+	int64_t since = n->now_ms - n->last_relay_at_ms;
 
 	if (n->is_relay)
-		return since <= RELAY_LACKS_WORD_MS;
-	return n->told_ms && since <= FOLLOWER_LACKS_WORD_MS;
+		return since <= RELAY_TIMEOUT_MS;
+	return n->last_relay_at_ms && since <= FOLLOWER_TIMEOUT_MS;
 }
 
-static void shorten(GString *text)
+static void compress_text(GString *text)
 {
-	GString *packed;
+	GString *compressed;
 
-	if (text->len <= PLAIN_MAX_BYTES)
+	if (text->len <= UNCOMPRESSED_MAX_BYTES)
 		return;
-	packed = deflate_bytes(text->str, text->len);
+	compressed = deflate_bytes(text->str, text->len);
 	g_string_truncate(text, 0);
-	g_string_append_c(text, SHORT_FORM);
-	g_string_append_len(text, packed->str, packed->len);
-	g_string_free(packed, TRUE);
+	g_string_append_c(text, COMPRESSED_MARK);
+	g_string_append_len(text, compressed->str, compressed->len);
+	g_string_free(compressed, TRUE);
 }
 
-static json_t *load_text(const GString *text)
+static json_t *parse_text(const GString *text)
 {
 	GString *plain;
 	json_t *o;
 
-	if (!text->len || text->str[0] != SHORT_FORM)
+	if (!text->len || text->str[0] != COMPRESSED_MARK)
 		return json_loadb(text->str, text->len, 0, NULL);
 	plain = inflate_bytes(text->str + 1, text->len - 1, MSG_MAX_TEXT);
 	if (!plain)
@@ -237,7 +239,7 @@
 }
 
 /* Records from an offset on, as text for MSG_RECORDS. */
-static GString *records_from(const struct member_node *n, int64_t offset)
+static GString *format_records(const struct member_node *n, int64_t offset)
 {
 	GString *text = g_string_new("[");
 	GList *l;
@@ -252,7 +254,7 @@
 					       c->append_id, c->text);
 	}
 	g_string_append_c(text, ']');
-	shorten(text);
+	compress_text(text);
 	return text;
 }
 
@@ -266,44 +268,44 @@
 }
 
 /* Records from an offset on for those who do not read them. */
-static void passed_on_init(const struct member_node *n, int64_t offset,
+static void relay_msg_init(const struct member_node *n, int64_t offset,
 			   struct member_msg *msg)
 {
 	member_msg_init(msg, MSG_RECORDS);
 	msg->offset = offset;
 	msg->flags = sender_flags(n);
-	if (hears_of_log(n))
+	if (follows_log(n))
 		msg->flags |= SENDER_READS_LOG;
-	msg->text = records_from(n, offset);
+	msg->text = format_records(n, offset);
 	/* What is long they read themselves; that there is news is enough. */
-	if (msg->text->len > PASS_ON_MAX_BYTES)
+	if (msg->text->len > RELAY_MAX_BYTES)
 		g_string_assign(msg->text, "[]");
 }
 
-void member_pass_on(struct member_node *n, int64_t offset)
+void member_relay_records(struct member_node *n, int64_t offset)
 {
 	struct member_msg msg;
 
 	if (!n->followers->len && !n->relays->len)
 		return;
-	passed_on_init(n, offset, &msg);
+	relay_msg_init(n, offset, &msg);
 	send_to_each(n, n->relays, &msg);
 	send_to_each(n, n->followers, &msg);
 	member_msg_finish(&msg);
-	n->next_relay_word_ms = n->now_ms + RELAY_WORD_EVERY_MS;
-	n->next_follower_word_ms = n->now_ms + FOLLOWER_WORD_EVERY_MS;
+	n->next_relay_keepalive_ms = n->now_ms + RELAY_KEEPALIVE_MS;
+	n->next_follower_keepalive_ms = n->now_ms + FOLLOWER_KEEPALIVE_MS;
 }
 
 /* Tell members that the log is being read, though it has no news. */
-static void send_word(struct member_node *n, const GArray *to, int64_t *next_ms,
-		      int64_t every_ms)
+static void send_keepalive(struct member_node *n, const GArray *to,
+			   int64_t *next_ms, int64_t every_ms)
 {
 	struct member_msg msg;
 
-	if (!to->len || n->now_ms < *next_ms || !hears_of_log(n))
+	if (!to->len || n->now_ms < *next_ms || !follows_log(n))
 		return;
 	*next_ms = n->now_ms + every_ms;
-	passed_on_init(n, n->fleet.applied + 1, &msg);
+	relay_msg_init(n, n->fleet.applied + 1, &msg);
 	send_to_each(n, to, &msg);
 	member_msg_finish(&msg);
 }
@@ -311,21 +313,22 @@
 /* Fetch from a peer when the log has not brought us level in time. */
 void sync_tick(struct member_node *n)
 {
-	refresh_readers(n);
-	send_word(n, n->relays, &n->next_relay_word_ms, RELAY_WORD_EVERY_MS);
-	send_word(n, n->followers, &n->next_follower_word_ms,
-		  FOLLOWER_WORD_EVERY_MS);
+	update_relay_tree(n);
+	send_keepalive(n, n->relays, &n->next_relay_keepalive_ms,
+		       RELAY_KEEPALIVE_MS);
+	send_keepalive(n, n->followers, &n->next_follower_keepalive_ms,
+		       FOLLOWER_KEEPALIVE_MS);
 	if (n->fleet.applied >= n->ahead_applied) {
 		n->behind_since_ms = 0;
 		return;
 	}
 	if (!n->behind_since_ms ||
 	    n->now_ms - n->behind_since_ms <
-		    (n->log_up ? BEHIND_LOG_UP_MS : BEHIND_MS))
+		    (n->log_up ? FETCH_DELAY_LOG_UP_MS : FETCH_DELAY_MS))
 		return;
 	if (n->now_ms < n->next_fetch_ms)
 		return;
-	n->next_fetch_ms = n->now_ms + BEHIND_MS;
+	n->next_fetch_ms = n->now_ms + FETCH_DELAY_MS;
 	sync_fetch(n, n->ahead_peer);
 	/* Should that peer be gone, the next one heard of takes its place. */
 	n->ahead_applied = n->fleet.applied;
@@ -342,7 +345,7 @@
 	msg.offset = n->fleet.applied;
 	msg.flags = sender_flags(n);
 	msg.text = g_string_new(text);
-	shorten(msg.text);
+	compress_text(msg.text);
 	free(text);
 	json_decref(state);
 	member_send(n, to, &msg);
@@ -350,7 +353,7 @@
 }
 
 /* A peer lacks records from an offset on. */
-void sync_on_ask(struct member_node *n, const struct member_msg *msg)
+void sync_on_request(struct member_node *n, const struct member_msg *msg)
 {
 	struct cached_record *first = g_queue_peek_head(n->cache);
 	struct member_msg answer;
@@ -368,7 +371,7 @@
 	member_msg_init(&answer, MSG_RECORDS);
 	answer.offset = msg->offset;
 	answer.flags = sender_flags(n);
-	answer.text = records_from(n, msg->offset);
+	answer.text = format_records(n, msg->offset);
 	member_send(n, msg->from, &answer);
 	member_msg_finish(&answer);
 }
@@ -383,7 +386,7 @@
 
 	if (!msg->text)
 		return;
-	list = load_text(msg->text);
+	list = parse_text(msg->text);
 	json_array_foreach(list, i, pair)
 	{
 		const char *id = json_string_value(json_array_get(pair, 0));
@@ -402,14 +405,14 @@
 	}
 	json_decref(list);
 	if (msg->flags & SENDER_READS_LOG)
-		n->told_ms = n->now_ms;
+		n->last_relay_at_ms = n->now_ms;
 	if (n->is_relay && n->fleet.applied > before)
-		member_pass_on(n, before + 1);
+		member_relay_records(n, before + 1);
 	/* Announced and not sent, or after others that we lack. */
 	if (n->fleet.applied < msg->applied && n->fleet.applied == before)
-		n->read_now = true;
+		n->log_read_due = true;
 	else
-		caught_up_with(n, msg);
+		check_caught_up(n, msg);
 }
 
 /* A peer sends a whole state, since it no longer has the records. */
@@ -419,14 +422,14 @@
 
 	if (!msg->text || msg->offset <= n->fleet.applied)
 		return;
-	state = load_text(msg->text);
+	state = parse_text(msg->text);
 	if (!state) {
 		COUNT(peer_messages_malformed);
 		return;
 	}
 	if (!fleet_load(&n->fleet, state)) {
 		member_state_replaced(n);
-		caught_up_with(n, msg);
+		check_caught_up(n, msg);
 	}
 	json_decref(state);
 }
--- a/node/gate-give.c
+++ b/node/gate-give.c
@@ -13,7 +13,7 @@
 
 static bool may_give(void *user, uint32_t shard)
 {
-	return member_may_give(user, shard);
+	return member_can_move_shard(user, shard);
 }
 
 /* The others of our service that take work and were heard of late. */
@@ -56,7 +56,7 @@
 	shards = g_array_new(FALSE, FALSE, sizeof(uint32_t));
 	list = others(g, now);
 	if (balance_choose(&g->balance, list, may_give, n, now, &to, shards) &&
-	    member_give(n, to, shards, now))
+	    member_move_shards(n, to, shards, now))
 		EVENT(shards_given, NULL,
 		      "\"shards\":%u,\"to\":%" PRId64 ",\"use\":%.2f",
 		      shards->len, to, g->balance.use);
--- a/node/gate-ids.c
+++ b/node/gate-ids.c
@@ -52,9 +52,9 @@
 	int64_t made_ms;
 
 	if (!r->keyed || r->shard >= n->n_holds ||
-	    !n->holds[r->shard].blind_since_ms)
+	    !n->holds[r->shard].ids_unknown_since_ms)
 		return false;
-	blind_ms = now - n->holds[r->shard].blind_since_ms;
+	blind_ms = now - n->holds[r->shard].ids_unknown_since_ms;
 	if (blind_ms > r->resend_window_ms)
 		return false;
 	/*
--- a/node/gate-park.c
+++ b/node/gate-park.c
@@ -24,7 +24,7 @@
 	/* Only another row's end makes room, and nobody knows when. */
 	if (grants_lacks_room(&r->gate->grants, r->shard))
 		return false;
-	return member_awaits(n, r->shard) ||
+	return member_is_acquiring(n, r->shard) ||
 	       !member_may_serve(n, r->shard, clock_now_ms(), &fence, &end);
 }
 
--- a/node/gate.c
+++ b/node/gate.c
@@ -300,7 +300,7 @@
 	      r->keyed && grants_granted(&g->grants, r->shard, fence, now)
 		      ? "true"
 		      : "false",
-	      r->keyed && member_awaits(n, r->shard) ? "true" : "false",
+	      r->keyed && member_is_acquiring(n, r->shard) ? "true" : "false",
 	      member_lease_end_ms(n) - now, g->load.n_running,
 	      g->load.queue.heap->len, g->load.limit.now,
 	      cold_now(&g->load.cold, now) ? "true" : "false",
--- a/node/granter.c
+++ b/node/granter.c
@@ -82,7 +82,7 @@
 	if (result == RESULT_UNREACHABLE && f->refused)
 		gate_not_connected(&x->node->gate, f);
 	if (outcome == GRANT_FENCED)
-		x->node->member.read_now = true;
+		x->node->member.log_read_due = true;
 	count(g, &l->call, outcome);
 	note(l, outcome, result);
 	grant_call_done(g, &l->call, outcome,
--- a/node/node.c
+++ b/node/node.c
@@ -76,7 +76,7 @@
 	      n->member.changes_source, n->member.changes_base,
 	      json_array_size(json_object_get(changes, "classes")),
 	      json_array_size(json_object_get(changes, "removed")),
-	      n->member.changes_whole ? "true" : "false",
+	      n->member.changes_complete ? "true" : "false",
 	      clock_now_ms() - n->member.published_since_ms);
 }
 
@@ -146,7 +146,7 @@
 	const struct fleet_service *s =
 		fleet_service(&m->fleet, n->settings.service);
 	const struct shard *sh = &s->shards[shard];
-	struct unsettled u = member_unsettled(m);
+	struct unsettled_moves u = member_unsettled_moves(m);
 
 	EVENT(move_unsettled, NULL,
 	      "\"shards\":%u,\"ms\":%" PRId64 ",\"shard\":%u"
@@ -154,7 +154,7 @@
 	      ",\"from\":%" PRId64 ",\"from_successor\":%" PRId64
 	      ",\"earlier_from\":%" PRId64 ",\"earlier_successor\":%" PRId64,
 	      u.n, clock_now_ms() - u.since_ms, shard, sh->fence,
-	      m->holds[shard].state, m->holds[shard].clear, sh->from,
+	      m->holds[shard].state, m->holds[shard].released_by, sh->from,
 	      sh->from_successor, sh->earlier_from, sh->earlier_successor);
 }
 
--- a/node/operator.c
+++ b/node/operator.c
@@ -52,7 +52,7 @@
 	return count;
 }
 
-static int64_t unsettled_ms(const struct unsettled *u)
+static int64_t unsettled_ms(const struct unsettled_moves *u)
 {
 	return u->n ? clock_now_ms() - u->since_ms : 0;
 }
@@ -109,7 +109,7 @@
 {
 	const struct member_node *m = &n->member;
 	int64_t lease = member_lease_end_ms(m) - clock_now_ms();
-	struct unsettled unsettled = member_unsettled(m);
+	struct unsettled_moves unsettled = member_unsettled_moves(m);
 
 	reply_json(
 		r, 200,
@@ -134,7 +134,7 @@
 static void get_metrics(struct node *n, struct httpd_request *r)
 {
 	GString *text = g_string_new(NULL);
-	struct unsettled unsettled = member_unsettled(&n->member);
+	struct unsettled_moves unsettled = member_unsettled_moves(&n->member);
 
 	counters_text(text);
 	histograms_text(text);
--- a/node/read-plan.c
+++ b/node/read-plan.c
@@ -29,7 +29,7 @@
 		return WAIT_AS_WITNESS_MS;
 	if (!member_reads_log(m))
 		return 0;
-	return m->is_reader ? MIN(longest_ms, WAIT_READER_MS) : longest_ms;
+	return m->is_log_reader ? MIN(longest_ms, WAIT_READER_MS) : longest_ms;
 }
 
 static int64_t gather_ms(const struct member_node *m)
@@ -43,7 +43,7 @@
 {
 	if (member_reads_log(m))
 		return 0;
-	return member_is_told(m) ? PAUSE_TOLD_MS : PAUSE_MS;
+	return member_has_live_relay(m) ? PAUSE_TOLD_MS : PAUSE_MS;
 }
 
 void read_plan_make(const struct member_node *m, int64_t longest_ms,
--- a/node/streams.c
+++ b/node/streams.c
@@ -120,7 +120,7 @@
 	}
 	member_on_log_tail(&n->member, sent_ms, clock_now_ms());
 	if (n->pass_on)
-		member_pass_on(&n->member, n->pass_from);
+		member_relay_records(&n->member, n->pass_from);
 	n->pass_on = false;
 }
 
@@ -241,7 +241,7 @@
 
 static void follow_operators(struct node *n)
 {
-	bool reads = member_reads_operators(&n->member);
+	bool reads = member_reads_operator_stream(&n->member);
 
 	if (!n->operators.ops || reads == n->reads_operators)
 		return;
@@ -259,10 +259,10 @@
 	struct member_node *m = &n->member;
 	struct read_plan plan;
 
-	if (m->read_now ||
+	if (m->log_read_due ||
 	    (m->behind_since_ms && now - m->behind_since_ms > DEAF_MS))
 		log_client_renew(&n->log);
-	m->read_now = false;
+	m->log_read_due = false;
 	if (now >= n->next_wait_ms) {
 		n->next_wait_ms = now + WAIT_EVERY_MS;
 		follow_operators(n);
@@ -280,7 +280,7 @@
 		log_client_read_now(&n->log);
 	n->log.pause_ms = plan.pause_ms;
 	n->operators.gather_ms = GATHER_MS;
-	n->log.retry_max_ms = m->is_reader ? READER_RETRY_MS : RETRY_MAX_MS;
+	n->log.retry_max_ms = m->is_log_reader ? READER_RETRY_MS : RETRY_MAX_MS;
 	if (n->log.pause_ms)
 		n->operators.gather_ms = GATHER_OPERATORS_MS;
 	/* What operators changed is in force elsewhere by now, or nobody reads.
--- a/t/sim-faults.c
+++ b/t/sim-faults.c
@@ -226,7 +226,7 @@
 				"%" G_GINT64_FORMAT " succ %" G_GINT64_FORMAT
 				" from %" G_GINT64_FORMAT
 				" fsucc %" G_GINT64_FORMAT "\n",
-				j, n->holds[j].state, n->holds[j].clear,
+				j, n->holds[j].state, n->holds[j].released_by,
 				(gint64)n->fleet.services[0].shards[j].owner,
 				(gint64)n->fleet.services[0].shards[j].successor,
 				(gint64)n->fleet.services[0].shards[j].from,
--- a/t/sim.c
+++ b/t/sim.c
@@ -385,7 +385,7 @@
 	struct read_plan plan;
 
 	read_plan_make(m, 0, &plan);
-	return nd->sim->granted && plan.pause_ms && !m->read_now &&
+	return nd->sim->granted && plan.pause_ms && !m->log_read_due &&
 	       nd->sim->now - nd->read_at < plan.pause_ms &&
 	       !(m->behind_since_ms &&
 		 m->now_ms - m->behind_since_ms > READ_WHEN_BEHIND_MS);
@@ -401,7 +401,7 @@
 	if (!nd->member.log_up || pauses(nd))
 		return;
 	nd->read_at = s->now;
-	nd->member.read_now = false;
+	nd->member.log_read_due = false;
 	first = nd->member.fleet.applied + 1;
 	next = first;
 	while (next < s->log->len) {
@@ -415,7 +415,7 @@
 	nd->n_reads += next > first;
 	nd->n_looks++;
 	if (s->granted && next > first)
-		member_pass_on(&nd->member, first);
+		member_relay_records(&nd->member, first);
 }
 
 static void answer_appends(struct sim *s)
--- a/t/test-readers.c
+++ b/t/test-readers.c
@@ -72,7 +72,7 @@
 
 		start(&s, seed);
 		for (i = 0; i < SIM_NODES; i++)
-			s.nodes[i].log_cut = s.nodes[i].member.is_reader;
+			s.nodes[i].log_cut = s.nodes[i].member.is_log_reader;
 		append_padding(&s);
 		g_assert_true(all_hear(&s, 2500));
 		append_padding(&s);
@@ -91,7 +91,7 @@
 
 		start(&s, seed);
 		for (i = 0; i < SIM_NODES; i++)
-			if (s.nodes[i].member.is_reader)
+			if (s.nodes[i].member.is_log_reader)
 				sim_kill(&s, i);
 		append_padding(&s);
 		g_assert_true(all_hear(&s, 2500));
@@ -112,7 +112,7 @@
 		looks[i] = s.nodes[i].n_looks;
 	sim_run(&s, 50000);
 	for (i = 0; i < SIM_NODES; i++)
-		if (!s.nodes[i].member.is_reader)
+		if (!s.nodes[i].member.is_log_reader)
 			g_assert_cmpuint(s.nodes[i].n_looks - looks[i], <=, 2);
 	sim_finish(&s);
 }
@@ -131,7 +131,7 @@
 		for (i = 0; i < SIM_NODES; i++) {
 			const struct member_node *m = &s.nodes[i].member;
 
-			s.nodes[i].log_cut = m->is_reader || m->is_relay;
+			s.nodes[i].log_cut = m->is_log_reader || m->is_relay;
 			n_left += !s.nodes[i].log_cut;
 		}
 		g_assert_cmpuint(n_left, >, 0);
@@ -160,8 +160,8 @@
 		const struct member_node *m = &s.nodes[i].member;
 
 		read_plan_make(m, 10000, &p);
-		g_assert_cmpint(p.wait_ms, ==, m->is_reader ? 3000 : 0);
-		g_assert_cmpint(p.pause_ms, ==, m->is_reader ? 0 : 60000);
+		g_assert_cmpint(p.wait_ms, ==, m->is_log_reader ? 3000 : 0);
+		g_assert_cmpint(p.pause_ms, ==, m->is_log_reader ? 0 : 60000);
 	}
 	sim_finish(&s);
 }
--- a/t/test-schedules.c
+++ b/t/test-schedules.c
@@ -589,8 +589,8 @@
 	n = &s.nodes[slot].member;
 	to = s.nodes[(slot + 1) % 5].member.self;
 	g_array_append_val(shards, shard);
-	g_assert_true(member_may_give(n, shard));
-	g_assert_true(member_give(n, to, shards, n->now_ms));
+	g_assert_true(member_can_move_shard(n, shard));
+	g_assert_true(member_move_shards(n, to, shards, n->now_ms));
 	sim_run(&s, 5000);
 	g_assert_cmpint(sim_server(&s, shard), ==, (slot + 1) % 5);
 	sim_finish(&s);
--- a/t/test-start.c
+++ b/t/test-start.c
@@ -138,11 +138,11 @@
 	for (i = 0; i < 2; i++)
 		g_ptr_array_add(n->snapshot_parts,
 				record_snapshot(n->fleet.applied, i, 2, "", 0));
-	n->snapshot_cut = n->fleet.applied;
+	n->pending_snapshot_offset = n->fleet.applied;
 	r = record_snapshot(n->fleet.applied, 0, 2, "", 0);
 	before = n_snapshot_records(&s);
 	sim_append(&s, r);
-	n->read_now = true;
+	n->log_read_due = true;
 	sim_run(&s, 200);
 	g_assert_cmpuint(n->snapshot_parts->len, ==, 0);
 	g_assert_cmpuint(n_snapshot_records(&s), ==, before + 1);
@@ -316,7 +316,7 @@
 	g_assert_true(sim_converge(&s, 20000));
 	sim_run(&s, 1000);
 	for (i = 0; i < SIM_NODES; i++)
-		s.nodes[i].log_cut = !s.nodes[i].member.is_reader;
+		s.nodes[i].log_cut = !s.nodes[i].member.is_log_reader;
 	for (i = 0; i < 1000; i++)
 		g_string_append_printf(text, "/path%u/,", i);
 	sim_append(&s, json_pack("{s:s,s:s}", "type", "padding", "text",
@@ -341,7 +341,7 @@
 	sim_init_granted(&s, 12, 0);
 	g_assert_true(sim_converge(&s, 20000));
 	n = &s.nodes[0].member;
-	g_assert_true(member_reads_operators(n));
+	g_assert_true(member_reads_operator_stream(n));
 	for (i = 0; i < 100; i++) {
 		struct member joins = {
 			.witnesses = { .n = 1, .id = { LOG_WITNESS } }
@@ -359,11 +359,11 @@
 	g_assert_cmpuint(fleet_n_members(&n->fleet), >, 100);
 	for_each_member (&n->fleet, m, i) {
 		n->self = m->id;
-		readers += member_reads_operators(n);
+		readers += member_reads_operator_stream(n);
 	}
 	g_assert_cmpuint(readers, ==, 12);
 	n->self = 0;
-	g_assert_true(member_reads_operators(n));
+	g_assert_true(member_reads_operator_stream(n));
 	sim_finish(&s);
 }
 
