--- a/member/busy.c
+++ b/member/busy.c
@@ -3,11 +3,14 @@
 #include "member/internal.h"
 
 /*
- * A backend server that lost its node at once may be busy with a shard for a
- * while. Whoever gets the shard waits that long.
+ * How long a backend server may still be busy with a shard after its node
+ * failed without releasing it. The next owner of the shard waits for that time.
  */
 
-/* What operators add where backend servers do not check grants. */
+/*
+ * The wait in ms that operators add where backend servers do not check grants;
+ * 0 if there is none.
+ */
 int64_t holds_guard_ms(const struct member_node *n)
 {
 	const struct service_settings *s =
@@ -17,9 +20,10 @@
 }
 
 /*
- * The backend server of a killed node may still be busy with what it was
- * given, for as long as the grant lasts. Witnesses wait that long before they
- * let anybody take over; a restart that proves the stop at once does not.
+ * The backend server of a killed node may still be busy with its requests until
+ * their grant ends. Witnesses wait for that time before they allow a takeover.
+ * A restart of the node proves at once that the old process has stopped, so the
+ * same wait is added here.
  */
 static int64_t server_busy_ms(const struct member_node *n, const char *reason)
 {
@@ -47,7 +51,7 @@
 		MAX(h->busy_until_ms, n->now_ms + server_busy_ms(n, reason));
 }
 
-/* The log moved a shard of our service. */
+/* A record moved a shard of this node's service. */
 void holds_on_shard_moved(struct member_node *n, const struct fleet_event *ev)
 {
 	struct hold *h = hold_of_event(n, ev);
@@ -67,7 +71,9 @@
 		h->ids_unknown_since_ms = 0;
 }
 
-/* The heir of a shard, which may have held it already, is gone. */
+/*
+ * The successor of a shard was removed. It may already have served the shard.
+ */
 void holds_on_successor_removed(struct member_node *n,
 				const struct fleet_event *ev)
 {
@@ -78,10 +84,12 @@
 }
 
 /*
- * Whether a host's new process has taken a shard over beside a server that
- * holds it by grants, and so answers for it. That is told by the life that the
- * log has, not by ours: a process reads the log before its own server has been
- * heard, and would otherwise wait a lease's length for each restart in it.
+ * Whether the new process on a host took the shard over from the previous
+ * process, beside a backend server that holds it by a grant. The new process
+ * answers for that grant, so no wait is needed. This is decided by the server
+ * instance in the log, not by this node's: a process reads the log before the
+ * first heartbeat of its own server, and would otherwise wait for a lease's
+ * length for each restart in the log.
  */
 static bool is_transferred_with_server(const struct member_node *n,
 				       const struct shard *sh,
@@ -91,7 +99,10 @@
 	       ev->member->life[0];
 }
 
-/* A member is gone: what it may still have held is busy for a while. */
+/*
+ * A member was removed. The backend server may still be busy with each shard
+ * that the member may have served.
+ */
 void holds_on_member_removed(struct member_node *n,
 			     const struct fleet_event *ev)
 {
--- a/member/holds.c
+++ b/member/holds.c
@@ -10,20 +10,26 @@
 #define UNSETTLED_NOTE_INTERVAL_MS 5000
 #define IDS_PER_ENTRY 4
 
+/* The state that the log gives shard i of this node's service. */
 struct shard *holds_shard(const struct member_node *n, uint32_t i)
 {
 	return &member_service(n)->shards[i];
 }
 
+/*
+ * Whether a member can no longer serve: it was removed by the log or is proved
+ * to have stopped. True for id 0, no member.
+ */
 static bool is_stopped(const struct member_node *n, int64_t id)
 {
 	return !id || !fleet_member(&n->fleet, id) || takeover_proved(n, id);
 }
 
 /*
- * Whether the backend servers of our service hold shards by grants that they
- * report in heartbeats. Then a process that starts anew knows what its server
- * holds, and answers for what the process before it granted.
+ * Whether the backend servers of this node's service report in heartbeats the
+ * grants that they hold, and the instance of this node's server is known. A
+ * process that starts then learns from the heartbeats which shards its server
+ * holds, and answers for what the previous process granted.
  */
 bool holds_servers_report_grants(const struct member_node *n)
 {
@@ -32,7 +38,11 @@
 	return s && s->key_numbers && n->me.life[0];
 }
 
-/* Whether the log, or a proved stop of the owner, gives us the shard. */
+/*
+ * Whether this node is to serve the shard: the log names it as the owner
+ * (*as_successor is 0), or as the successor of an owner that is proved to have
+ * stopped (*as_successor is 1).
+ */
 static bool is_entitled(const struct member_node *n, uint32_t i,
 			uint8_t *as_successor)
 {
@@ -48,6 +58,10 @@
 	       takeover_proved(n, sh->owner);
 }
 
+/*
+ * Whether this node has a lease, and a majority of its witnesses, of both sets
+ * during a change, has applied the record at offset.
+ */
 static bool witnesses_applied(const struct member_node *n, int64_t offset)
 {
 	const struct member *m = fleet_member(&n->fleet, n->self);
@@ -66,7 +80,7 @@
 struct predecessors {
 	int64_t owner;
 	int64_t successor;
-	uint8_t owner_bit; /* RELEASED_BY_*: from is known not to serve */
+	uint8_t owner_bit; /* RELEASED_BY_*: owner does not serve the shard */
 	uint8_t successor_bit;
 };
 
@@ -83,6 +97,7 @@
 				      RELEASED_BY_OLDER_SUCCESSOR };
 }
 
+/* Whether neither the owner nor the successor in p can still serve shard i. */
 static bool pair_released(const struct member_node *n, uint32_t i,
 			  const struct predecessors *p)
 {
@@ -103,7 +118,7 @@
 	return from && successor;
 }
 
-/* Whether nobody who held or could inherit the shard before still serves. */
+/* Whether no previous owner or successor of the shard can still serve it. */
 static bool predecessors_released(const struct member_node *n, uint32_t i)
 {
 	struct predecessors p[MAX_PREDECESSORS];
@@ -114,7 +129,10 @@
 	return pair_released(n, i, &p[0]) && pair_released(n, i, &p[1]);
 }
 
-/* Whether a shard that is ours needs no more word from its predecessors. */
+/*
+ * Whether a shard that this node owns needs no further release: its moves are
+ * settled, or no predecessor can still serve it.
+ */
 bool holds_can_settle(const struct member_node *n, uint32_t i)
 {
 	const struct shard *sh = holds_shard(n, i);
@@ -126,7 +144,12 @@
 	return n->holds[i].state == HOLD_HELD;
 }
 
-/* A succession ahead of the log comes after the record that named the heir. */
+/*
+ * The fence that the shard is served under: twice the offset of the record that
+ * last moved it. A successor that takes over before the log records it uses
+ * twice the offset of the record that named it, plus one, which is between the
+ * fences of that record and of the next one.
+ */
 static int64_t serving_fence(const struct member_node *n, uint32_t i)
 {
 	const struct shard *sh = holds_shard(n, i);
@@ -159,11 +182,14 @@
 }
 
 /*
- * Whether all who may hold a shard can be asked. Records that we read at the
- * start were made at an unknown time before, so what they would have us wait
- * for is waited for in full from the start, unless nothing in the shard's state
- * asks for a wait: its predecessors are members, who answer, or are this
- * host's own earlier incarnation, whose server is ours.
+ * Whether the shard can be acquired without the wait that follows a start. The
+ * age of the records read at the start is unknown, so any wait that they
+ * require is counted in full from the start. None is required if every
+ * predecessor is still a member, and so answers release requests, or is an
+ * earlier incarnation of this host, whose backend server is now this node's.
+ * The wait is kept where backend servers do not report grants or a guard time
+ * is set, and once a member with the log as witness has been removed: it may
+ * have served for a lease's length after its last read of the log.
  */
 static bool can_ask_predecessors(const struct member_node *n, uint32_t i)
 {
@@ -184,9 +210,10 @@
 }
 
 /*
- * Serve on under the fence of a newer record. Not before our witnesses know of
- * it: should we be lost, an heir named before that record may take over without
- * having read it, under a fence that is lower than the record's.
+ * Serve a held shard under the fence of a newer record, once the witnesses have
+ * applied that record. If this node failed earlier than that, a successor named
+ * before the record could take over without having read it, under a lower fence
+ * than the record's.
  */
 static void raise_fence(struct member_node *n, uint32_t i, uint8_t as_successor)
 {
@@ -240,9 +267,10 @@
 	struct hold *h = &n->holds[i];
 
 	/*
-	 * A shard that came back while its last requests still ran, and goes
-	 * again, is not free before those have ended: hence not straight to
-	 * HOLD_NONE, which would have us tell the next owner so.
+	 * The shard may have been moved away, back here and away again.
+	 * Requests from its first time here may still be in flight, and it is
+	 * not released before they end. In HOLD_NONE this node would report it
+	 * as released.
 	 */
 	if (h->state == HOLD_ACQUIRING) {
 		h->state = rule_on(n, RULE_REQUESTS_END_FIRST) ? HOLD_RELEASING
@@ -250,10 +278,11 @@
 	}
 	if (h->state == HOLD_HELD) {
 		/*
-		 * Released before our witnesses know of the move, the shard
-		 * could be taken over by a successor that does not know of it
-		 * either, while the new owner serves it. So serve on until
-		 * they do. Without a lease nobody is being served anyhow.
+		 * Serve the shard until the witnesses have applied the record
+		 * of the move. If it were released earlier, a successor that
+		 * has not read the record either could take it over while the
+		 * new owner serves it. Without a lease no request is served, so
+		 * there is nothing to wait for.
 		 */
 		if (!n->resigning && lease_valid(n) &&
 		    !witnesses_applied(n, holds_shard(n, i)->fence)) {
@@ -266,7 +295,7 @@
 		release_shard(n, i);
 }
 
-/* What was cleared for one move says nothing of the next. */
+/* Discard releases received for an earlier move: they do not cover this one. */
 static void reset_on_new_fence(struct hold *h, const struct shard *sh)
 {
 	if (h->move_fence == sh->fence)
@@ -298,6 +327,7 @@
 	g_array_append_val(list, shard);
 }
 
+/* Add shard i to the requests to each predecessor that may still serve it. */
 static void collect_release_requests(struct member_node *n,
 				     GHashTable *requests, uint32_t i)
 {
@@ -347,6 +377,10 @@
 	g_hash_table_unref(requests);
 }
 
+/*
+ * Append the ids seen on shard i. An entry with id 0 tells for how many ms ids
+ * of previous owners have been missing here.
+ */
 static void export_shard_ids(struct member_node *n, uint32_t i, GArray *out)
 {
 	const struct hold *h = &n->holds[i];
@@ -359,12 +393,19 @@
 	n->ops->export_ids(n->ops_user, i, out);
 }
 
-/* Whether what we know of a shard's ids has no gap. */
+/*
+ * Whether this node has the request ids seen on the shard, apart from a gap
+ * that export_shard_ids() reports.
+ */
 static bool has_complete_ids(const struct member_node *n, uint32_t i)
 {
 	return n->holds[i].held_since_ms || n->holds[i].has_ids;
 }
 
+/*
+ * Send one release of those shards of which the ids are complete, or of the
+ * others.
+ */
 static void send_release_msg(struct member_node *n, int64_t to,
 			     const GArray *shards, bool with_ids)
 {
@@ -400,6 +441,7 @@
 	send_release_msg(n, to, shards, false);
 }
 
+/* Send the releases that are due, grouped by the owner of the shards. */
 static void send_unsent_releases(struct member_node *n)
 {
 	GArray *shards = n->unsent_releases;
@@ -448,7 +490,10 @@
 	g_array_unref(shards);
 }
 
-/* Resigning and idle: give every successor the ids seen on its shards. */
+/*
+ * Send every successor the request ids seen on its shards. Called while this
+ * node resigns and serves no shard any more.
+ */
 void holds_hand_over(struct member_node *n)
 {
 	GArray *successors = witness_successors(n, n->self);
@@ -459,7 +504,7 @@
 	g_array_unref(successors);
 }
 
-/* An heir has taken our ids. */
+/* A successor acknowledged the request ids. */
 void holds_on_ids_ack(struct member_node *n, const struct member_msg *msg)
 {
 	if (n->resigning)
@@ -467,8 +512,9 @@
 }
 
 /*
- * Whether every heir has our ids, or has had time enough. Heirs that take over
- * without them must answer "unknown" to each id that they do not know.
+ * Whether every successor has acknowledged the request ids, or
+ * HAND_OVER_TIMEOUT_MS has passed. A successor that takes over without the ids
+ * must answer "unknown" to each id that it has not seen.
  */
 bool holds_hand_over_is_done(const struct member_node *n)
 {
@@ -488,7 +534,7 @@
 	return all;
 }
 
-/* Whether we serve no shard and let none go. */
+/* Whether this node neither holds nor is releasing any shard. */
 bool holds_is_idle(const struct member_node *n)
 {
 	uint32_t i;
@@ -541,7 +587,10 @@
 		member_note(n, NOTE_UNSETTLED, u.shard);
 }
 
-/* Bring every hold in line with the state, the proofs and the lease. */
+/*
+ * Update every hold by the state of the log, the proved stops and the lease.
+ * Send releases, and requests for releases when they are due.
+ */
 void holds_tick(struct member_node *n)
 {
 	uint32_t i;
@@ -561,7 +610,10 @@
 	}
 }
 
-/* Follow the number of shards of our service once it is configured. */
+/*
+ * Allocate the holds for the number of shards that the service is configured
+ * with. Existing holds are discarded if that number changed.
+ */
 void holds_resize(struct member_node *n)
 {
 	struct fleet_service *s = member_service(n);
@@ -573,7 +625,10 @@
 	n->n_holds = s->n_shards;
 }
 
-/* Serve nothing any more: we are no member, or never can be again. */
+/*
+ * Stop serving every shard at once: this incarnation has ended. The times until
+ * which backend servers may be busy stay valid.
+ */
 void holds_reset(struct member_node *n)
 {
 	uint32_t i;
@@ -587,14 +642,17 @@
 	g_array_set_size(n->unsent_releases, 0);
 }
 
-/* A new owner asks whether we still serve some shards. */
+/* A new owner asks which of a list of shards this node no longer serves. */
 void holds_on_release_request(struct member_node *n,
 			      const struct member_msg *msg)
 {
 	GArray *released;
 	uint32_t i;
 
-	/* What we have not read yet may give us a shard: catch up first. */
+	/*
+	 * Records not applied here yet may assign a shard to this node: fetch
+	 * them first. The new owner repeats its request.
+	 */
 	if (n->fleet.applied < msg->offset) {
 		sync_fetch(n, msg->from);
 		return;
@@ -607,7 +665,10 @@
 		if (s < 0 || s >= n->n_holds ||
 		    is_entitled(n, s, &as_successor))
 			continue;
-		/* Backend servers may hold what an earlier process gave. */
+		/*
+		 * in_flight() also counts what a backend server may still hold
+		 * by a grant of a previous process.
+		 */
 		if (n->holds[s].state == HOLD_NONE &&
 		    (!n->ops->in_flight(n->ops_user, s) ||
 		     !rule_on(n, RULE_REQUESTS_END_FIRST)))
@@ -634,6 +695,7 @@
 	}
 }
 
+/* Note that msg brings the ids that its sender has seen on the shard. */
 static void mark_ids_known(const struct shard *sh, struct hold *h,
 			   const struct member_msg *msg)
 {
@@ -659,7 +721,10 @@
 	uint32_t k;
 
 	reset_on_new_fence(h, sh);
-	/* A leaving owner's word that the record of its leaving overtook. */
+	/*
+	 * The sender was leaving, and the record of its removal was applied
+	 * here before this message arrived.
+	 */
 	if ((msg->flags & RELEASE_HAS_IDS) && sh->owner == n->self &&
 	    msg->from == h->moved_from) {
 		h->has_ids = true;
@@ -670,8 +735,8 @@
 	if (h->state != HOLD_HELD)
 		mark_ids_known(sh, h, msg);
 	/*
-	 * Also of a shard that is served: when it is named another heir before
-	 * its move is settled, its predecessors are asked once more.
+	 * This applies to a held shard too: if its successor changes before its
+	 * move is settled, its predecessors are asked again.
 	 */
 	get_predecessors(sh, p);
 	for (k = 0; k < MAX_PREDECESSORS; k++) {
@@ -685,7 +750,7 @@
 	}
 }
 
-/* A predecessor says that it does not serve some shards. */
+/* A predecessor reports that it does not serve some shards. */
 void holds_on_release(struct member_node *n, const struct member_msg *msg)
 {
 	struct member_msg answer;
