--- a/member/propose.c
+++ b/member/propose.c
@@ -12,40 +12,55 @@
 #define BALANCE_RANK_STEP_MS 3000
 #define WITNESS_CHANGE_DELAY_MS 500
 #define RETRY_MS 500
+/* A member joins again after this many lease lengths without a lease. */
 #define REJOIN_AFTER_LEASES 1
-/* A vouch takes some milliseconds; two questions can be lost by chance. */
+/*
+ * A vouch takes some milliseconds; two requests in a row can be lost by chance.
+ */
 #define UNANSWERED_REQUESTS 3
 #define JITTER_PER_MEMBER_MS 20
 #define SNAPSHOT_PART_BYTES (64 * 1024)
-/* Of the records between snapshots: how much longer the next by rank waits. */
+/*
+ * Each further rank waits for snapshot_records / SNAPSHOT_RANK_DIVISOR records
+ * more.
+ */
 #define SNAPSHOT_RANK_DIVISOR 8
+/*
+ * A member with the log as witness may be expelled when it has sent no vouch
+ * request for this many times as long as a witness waits for a lease to end.
+ */
 #define LOG_WITNESSED_WAITS 2
-/* What a record may take once it is compressed; the store bounds it. */
+/* Limit on the compressed size of changes: the store limits a record's size. */
 #define CHANGES_MAX_BYTES (192 * 1024)
 /*
- * After another's append came first: read it, then decide again. Whole fleets
- * join at once, and a snapshot cannot follow what it does not hold: there each
- * further time in a row may wait twice as long.
+ * The longest random wait after an append conflict, that is, after another
+ * member's append came first. The node reads that record in the meantime, then
+ * decides again. The limit doubles with each conflict in a row for joins, since
+ * whole fleets join at once, and for snapshots, which cannot follow records
+ * that they do not contain.
  */
 #define CONFLICT_BACKOFF_MS 30
 #define CONFLICT_DOUBLINGS 5
-/* Whom operators' changes wait for, one after the other: they are urgent. */
+/*
+ * The wait per rank before a member proposes operators' changes. It is short,
+ * since they are urgent, and grows with the size of the published document.
+ */
 #define PUBLISH_RANK_STEP_MS 150
 #define PUBLISH_BYTES_PER_MS 1024
 #define PUBLISH_RANK_STEP_EXTRA_MS 450
 #define PUBLISH_NON_MEMBER_DELAY_MS 400
-/* Those that are no members have no rank, and may be many. */
+/* Nodes that are not members have no rank, and may be many. */
 #define PUBLISH_NON_MEMBER_SPREAD_MS 1000
-/* Where nobody has joined yet, all hosts start at about the same time. */
+/* The hosts of a fleet without members start at about the same time. */
 #define FIRST_JOIN_SPREAD_MS 1000
 /* Backend servers announce themselves within about a second of each other. */
 #define PLACE_AFTER_JOIN_MS 1200
 #define PLACE_MAX_WAIT_MS 4000
 
 /*
- * Appends spread over a time that grows with the fleet, so that an outage of
- * the log does not end in a rush from every node: at most 1000/20 = 50 a
- * second from the whole fleet for any one cause.
+ * A random delay whose range grows with the number of members, so that after an
+ * outage of the log the whole fleet appends at most 1000/20 = 50 records a
+ * second for any one cause.
  */
 static int64_t append_jitter_ms(struct member_node *n)
 {
@@ -91,11 +106,14 @@
 		n->conflicts[kind] = 0;
 	if (result == RESULT_OK) {
 		n->next_append_ms[kind] = n->now_ms + RETRY_MS;
-		/* It may have been read already: what is next follows from it. */
+		/*
+		 * If this record has been applied already, the next changes are
+		 * computed from it and need not wait.
+		 */
 		if (kind == APPEND_PUBLISHED &&
 		    n->changes_base != n->fleet.configuration_version)
 			n->next_append_ms[kind] = n->now_ms;
-		/* The parts of a snapshot belong close together. */
+		/* Append the parts of a snapshot directly after each other. */
 		if (kind == APPEND_SNAPSHOT && n->snapshot_parts->len)
 			n->next_append_ms[kind] = n->now_ms;
 		if (kind == APPEND_JOIN)
@@ -111,7 +129,10 @@
 	n->next_append_ms[kind] = n->now_ms + RETRY_MS + append_jitter_ms(n);
 }
 
-/* Members that joined since we first read the log: they are running now. */
+/*
+ * The number of members on other hosts that joined after this process first
+ * read the log to its end, and so are known to run.
+ */
 static uint32_t count_new_members(const struct member_node *n)
 {
 	uint32_t count = 0;
@@ -137,12 +158,13 @@
 }
 
 /*
- * When all processes were killed at once, those that join first name witnesses
- * that are gone, and would find that out by a lease's length without a vouch.
- * Members that joined since then are known to run: as soon as there are enough
- * of them, and the witnesses named are replaced or have left several questions
- * unanswered, it is better to join with others. Nobody has been served under
- * this incarnation, so nothing is lost by ending it.
+ * Whether this member joined with witnesses that have probably stopped. When
+ * all processes were killed at once, the first to join again name witnesses
+ * that no longer run, and would notice only after a lease's length without a
+ * vouch. Members that joined since then are known to run. Once there are enough
+ * of them, and most of the named witnesses were replaced or several requests
+ * for vouches got this member no lease, it joins again with other witnesses. No
+ * request was served in this incarnation, so nothing is lost by ending it.
  */
 static bool chose_stopped_witnesses(const struct member_node *n)
 {
@@ -157,7 +179,9 @@
 	       count_replaced_witnesses(n, &m->witnesses) > m->witnesses.n / 2;
 }
 
-/* Members above this are preferred as witnesses; 0 where none are. */
+/*
+ * The id above which members are preferred as witnesses; 0 for no preference.
+ */
 static int64_t preferred_witness_above(const struct member_node *n)
 {
 	return count_new_members(n) >= FLEET_WITNESSES ? n->first_end + 1 : 0;
@@ -200,9 +224,10 @@
 		return;
 	n->next_join_ms = n->now_ms + RETRY_MS + append_jitter_ms(n);
 	/*
-	 * Other nodes may read our new join record before we do, and take our
-	 * shards. Witnesses that answer late must not revive the old lease
-	 * meanwhile, so the old incarnation ends here, before the append.
+	 * End the old incarnation before the append. Other nodes may read the
+	 * new join record before this one does, and take over its shards; a
+	 * late answer from a witness must not renew the old lease in the
+	 * meantime.
 	 */
 	if (n->self) {
 		collect_unresponsive_witnesses(n);
@@ -215,7 +240,11 @@
 	member_append(n, APPEND_JOIN, record_join(&n->me));
 }
 
-/* Our place among those who inherit from subject; they act one by one. */
+/*
+ * How long this node waits before it proposes to expel subject, so that members
+ * act one by one: first the successors of subject, by id, then the other
+ * members, by rank.
+ */
 static int64_t expel_delay_ms(const struct member_node *n, int64_t subject)
 {
 	GArray *successors = witness_successors(n, subject);
@@ -236,6 +265,11 @@
 	return MIN(rank, 20) * RANK_STEP_MS;
 }
 
+/*
+ * Whether a member with the log as witness may be expelled: each of its sets of
+ * witnesses contains the log or has promised that it stopped, and it has sent
+ * this node no vouch request for so long that its lease has ended.
+ */
 static bool log_witnessed_expired(const struct member_node *n,
 				  const struct member *m)
 {
@@ -245,8 +279,9 @@
 	    !witness_set_has(&m->old_witnesses, LOG_WITNESS))
 		return false;
 	/*
-	 * While a change to or from the log is not settled, the member may not
-	 * have read of it and serve by its other witnesses alone.
+	 * While a change to or from the log as witness is not settled, the
+	 * member may not have read the record of the change, and may serve with
+	 * the vouches of its other set of witnesses alone.
 	 */
 	if (!takeover_set_silent(n, m->id, &m->witnesses) ||
 	    (m->old_witnesses.n &&
@@ -332,7 +367,10 @@
 
 	if (!m || n->resigning || !lease_valid(n))
 		return;
-	/* The new ones have to vouch before a change is settled. */
+	/*
+	 * A change in progress is settled first, which needs vouches of the new
+	 * witnesses. Propose another only if too few of them can still vouch.
+	 */
 	if (m->old_witnesses.n && lease_may_come_from(n, &m->witnesses))
 		return;
 	if (!needs_new_witnesses(n, m)) {
@@ -351,7 +389,11 @@
 		      record_witnesses(n->self, m->witness_offset, &w));
 }
 
-/* The newest offset up to which all that is ours is held by us alone. */
+/*
+ * The newest offset up to which all moves to this node are complete, so that no
+ * predecessor can still serve the shards, and no change of witnesses is open.
+ * *settles_any is set if a settle record up to there would settle anything.
+ */
 static int64_t find_settled_offset(const struct member_node *n,
 				   const struct member *m, bool *settles_any)
 {
@@ -385,8 +427,9 @@
 	int64_t upto;
 
 	/*
-	 * Without a lease our old witnesses may already have promised a
-	 * successor that we stopped; settling would cut them out.
+	 * Without a lease, the old witnesses may already have promised a
+	 * successor that this member has stopped. After settling, their
+	 * promises would no longer count.
 	 */
 	if (!m || !may_append(n, APPEND_SETTLE) || !lease_valid(n))
 		return;
@@ -507,7 +550,7 @@
 static bool snapshot_due(const struct member_node *n)
 {
 	int64_t age = n->now_ms - n->snapshot_seen_at_ms;
-	/* One that another has begun to write counts as well. */
+	/* A snapshot that another member is still writing counts too. */
 	int64_t records = n->fleet.applied -
 			  MAX(n->fleet.snapshot_offset, n->fleet.snapshot_upto);
 	int64_t rank = MIN(assign_rank(&n->fleet, "snapshot", n->self), 20);
@@ -522,14 +565,17 @@
 }
 
 /*
- * What is in force must not age out of the log with the records that made it,
- * or a node that starts then would find nothing.
+ * The log drops old records. Without a new snapshot the state that they led to
+ * would be lost with them, and a node that starts later could not restore it.
  */
 static void propose_snapshot(struct member_node *n)
 {
 	if (!n->self || !may_append(n, APPEND_SNAPSHOT))
 		return;
-	/* Another came first, with the same state or a newer one. */
+	/*
+	 * Another member was first with a snapshot of the same state or a newer
+	 * one.
+	 */
 	if (n->fleet.snapshot_upto >=
 	    n->pending_snapshot_offset + n->snapshot_partly_written)
 		g_ptr_array_set_size(n->snapshot_parts, 0);
@@ -551,7 +597,10 @@
 	return false;
 }
 
-/* Give ranges that nobody owns to the members, once these have gathered. */
+/*
+ * Assign unowned ranges of keys to the members, once no member has joined for a
+ * while, or after PLACE_MAX_WAIT_MS at the latest.
+ */
 static void propose_place(struct member_node *n)
 {
 	const struct fleet_service *s = member_service(n);
@@ -572,7 +621,7 @@
 		member_append(n, APPEND_PLACE, record_place(s->name, n->self));
 }
 
-/* Work out what leads from the configuration in force to what is published. */
+/* Compute the changes from the configuration in force to the published one. */
 static void compute_changes(struct member_node *n)
 {
 	json_t *from = n->fleet.document;
@@ -596,7 +645,7 @@
 	n->changes_source = n->published_source;
 }
 
-/* It is long, and needed no more once it is in force. */
+/* Free the published document, which is large, once it is in force. */
 static void discard_operators_document(struct member_node *n)
 {
 	g_clear_pointer(&n->operators_document, json_decref);
@@ -604,7 +653,10 @@
 	n->changes_source = -1;
 }
 
-/* A host with a tenth of a core needs longer to work out what is longer. */
+/*
+ * A host with a tenth of a core needs longer to compute the changes of a larger
+ * document.
+ */
 static int64_t publish_rank_step_ms(const struct member_node *n)
 {
 	return PUBLISH_RANK_STEP_MS +
@@ -613,8 +665,9 @@
 }
 
 /*
- * Bring what operators published into the log. Any node may; the first by rank
- * does, and the others wait for it in turn, in case it is gone.
+ * Append the changes that operators published to the log. Any node may do so:
+ * the first by rank does, and the others wait in the order of their ranks, in
+ * case those before them have failed.
  */
 static void propose_published(struct member_node *n)
 {
@@ -643,7 +696,7 @@
 				     n->self));
 }
 
-/* Append what this node, by its rank and its state, should append. */
+/* Propose each record that is due by this node's rank and state. */
 void propose_tick(struct member_node *n)
 {
 	propose_join(n);
--- a/member/sync.c
+++ b/member/sync.c
@@ -7,43 +7,56 @@
 #include "util/result.h"
 
 /*
- * Records reach a node that cannot read the log from its peers: an offset
- * identifies a record, so a copy from anybody is as good as the log's own.
+ * Replication of records between members, for those that cannot or need not
+ * read the log. An offset identifies a record, so a copy from any peer can
+ * replace the log's.
  */
 
+/* How long a node is behind a peer before it fetches records from the peer. */
 #define FETCH_DELAY_MS 300
 /*
- * While the log can be read it is asked first: what is long would go out once
- * for each who lacks it over one peer's link, 300 kB eighteen times over one of
- * 10 Mbit/s take four seconds.
+ * Longer while the log can be read: a long record would otherwise be sent over
+ * one peer's link to each node that lacks it. Sending 300 kB eighteen times
+ * over a link of 10 Mbit/s takes four seconds.
  */
 #define FETCH_DELAY_LOG_UP_MS 1000
 #define CACHE_MAX_BYTES (1024 * 1024)
 #define CACHE_MAX_RECORDS 4096
 #define BATCH_MAX_BYTES (256 * 1024)
-/* What is longer in its short form is read by each; the store's bytes are cheap.
+/*
+ * Records that are longer than this after compression are not relayed: each
+ * node reads them from the log, since the store's bandwidth is cheap.
  */
 #define RELAY_MAX_BYTES (8 * 1024)
-/* Text longer than this is compressed; JSON never begins with the mark. */
+/* Longer texts are compressed and begin with the mark; JSON never does. */
 #define UNCOMPRESSED_MAX_BYTES 2048
 #define COMPRESSED_MARK 'z'
 #define RELAY_UPDATE_INTERVAL_MS 500
-/* So few wait at the log all of them. */
+/* In fleets up to this size every member reads the log. */
 #define ALL_READ_LOG_MAX_MEMBERS 4
-/* Fewer read what operators publish in fleets larger than this. */
+/* In fleets up to this size every member reads the operators' stream. */
 #define ALL_READ_OPERATORS_MAX_MEMBERS 24
-/* Rarely are all of them gone or cut off from the store at once. */
+/*
+ * In larger fleets this many members do. They seldom all fail, or lose the
+ * connection to the store, at the same time.
+ */
 #define N_OPERATOR_READERS 12
-/* The first of the readers by rank read for all, so that one may be lost. */
+/* The number of members that read the log for all, so that one may fail. */
 #define N_LOG_READERS 2
-/* Relays read the log themselves once no reader has sent word for so long. */
+/*
+ * A relay that has received nothing from a log reader for RELAY_TIMEOUT_MS, not
+ * even a keepalive, reads the log itself.
+ */
 #define RELAY_KEEPALIVE_MS 400
 #define RELAY_TIMEOUT_MS 1500
-/* Followers look at it themselves now and then after that. */
+/*
+ * A follower that has received nothing for FOLLOWER_TIMEOUT_MS reads the log
+ * itself more often.
+ */
 #define FOLLOWER_KEEPALIVE_MS 2000
 #define FOLLOWER_TIMEOUT_MS 6000
 
-/* Release one cached record. */
+/* Free a struct cached_record. */
 void cached_record_free(gpointer p)
 {
 	struct cached_record *c = p;
@@ -54,9 +67,11 @@
 }
 
 /*
- * Who has applied what comes before a part of a snapshot has no need of it, and
- * who has nothing is handed the state. So that it need not be read by each
- * because it is long, it is kept without what it holds.
+ * The text of a record for the cache. A part of a snapshot is cached without
+ * its data, since a peer that has applied the records before it does not need
+ * the data, and a peer that has applied nothing is sent the state. With its
+ * data a part would be too long to relay, and each node would have to read it
+ * from the log.
  */
 static char *text_to_cache(const json_t *record)
 {
@@ -73,7 +88,7 @@
 	return text;
 }
 
-/* Keep a record that was just applied for peers that lack it. */
+/* Cache a record that was just applied, for peers that lack it. */
 void sync_cache_record(struct member_node *n, int64_t offset,
 		       const char *append_id, const json_t *record)
 {
@@ -92,7 +107,7 @@
 	}
 }
 
-/* A peer named the offset that it has applied. */
+/* A peer reported the offset of the last record that it has applied. */
 void sync_on_peer_offset(struct member_node *n, int64_t peer, int64_t applied)
 {
 	if (applied <= n->fleet.applied || applied <= n->ahead_applied)
@@ -103,7 +118,7 @@
 		n->behind_since_ms = n->now_ms;
 }
 
-/* Ask a peer for the records that we lack. */
+/* Ask a peer for the records after the last one applied here. */
 void sync_fetch(struct member_node *n, int64_t peer)
 {
 	struct member_msg msg;
@@ -114,9 +129,10 @@
 }
 
 /*
- * What a peer sent has been applied. A peer's answer is cut at a size, so it
- * may take several; the last one brings us level with it. A peer that has just
- * started itself may be far behind, and to be level with it means nothing.
+ * Fetch more records from the peer that sent msg, or note that this node has
+ * caught up with it. Called when what msg brought has been applied. An answer
+ * is limited in size, so several may be needed. A peer that has just started
+ * may be far behind itself, so only a peer that is current counts.
  */
 static void check_caught_up(struct member_node *n, const struct member_msg *msg)
 {
@@ -137,9 +153,10 @@
 }
 
 /*
- * A read costs a call for each who reads, so two do: they pass records on to
- * the relays, and each relay to its followers. Each follower has two relays or
- * readers, so that the loss of one goes unnoticed.
+ * Choose the log readers, relays and followers again. Each reader costs the
+ * store a call per read, so two members read the log. They send the records to
+ * the relays, and each relay sends them to its followers. Each follower has two
+ * senders, readers or relays, so that it misses nothing when one fails.
  */
 static void update_relay_tree(struct member_node *n)
 {
@@ -172,14 +189,21 @@
 	g_array_unref(all);
 }
 
-/* Readers may all be gone or cut off, and nobody would notice news. */
+/*
+ * Whether this node is a relay that has received nothing from a log reader for
+ * RELAY_TIMEOUT_MS. All readers may have failed or be cut off from the log, and
+ * new records would go unnoticed.
+ */
 static bool relay_timed_out(const struct member_node *n)
 {
 	return n->is_relay &&
 	       n->now_ms - n->last_relay_at_ms > RELAY_TIMEOUT_MS;
 }
 
-/* Whether news of the log reaches us, so that silence means none. */
+/*
+ * Whether new records of the log reach this node, so that it can tell others
+ * that there are none.
+ */
 static bool follows_log(const struct member_node *n)
 {
 	if (n->is_log_reader || relay_timed_out(n))
@@ -210,6 +234,7 @@
 	return n->last_relay_at_ms && since <= FOLLOWER_TIMEOUT_MS;
 }
 
+/* Compress a long text in place. */
 static void compress_text(GString *text)
 {
 	GString *compressed;
@@ -223,6 +248,10 @@
 	g_string_free(compressed, TRUE);
 }
 
+/*
+ * The JSON of a text that may be compressed, as a new reference; NULL if it is
+ * malformed.
+ */
 static json_t *parse_text(const GString *text)
 {
 	GString *plain;
@@ -238,7 +267,7 @@
 	return o;
 }
 
-/* Records from an offset on, as text for MSG_RECORDS. */
+/* The cached records from an offset on, as text for MSG_RECORDS. */
 static GString *format_records(const struct member_node *n, int64_t offset)
 {
 	GString *text = g_string_new("[");
@@ -267,7 +296,10 @@
 		member_send(n, g_array_index(ids, int64_t, i), msg);
 }
 
-/* Records from an offset on for those who do not read them. */
+/*
+ * Fill in a message with the records from an offset on, for members that do not
+ * read the log.
+ */
 static void relay_msg_init(const struct member_node *n, int64_t offset,
 			   struct member_msg *msg)
 {
@@ -277,7 +309,10 @@
 	if (follows_log(n))
 		msg->flags |= SENDER_READS_LOG;
 	msg->text = format_records(n, offset);
-	/* What is long they read themselves; that there is news is enough. */
+	/*
+	 * The receivers read long records from the log. The applied offset in
+	 * the message tells them that there are new ones.
+	 */
 	if (msg->text->len > RELAY_MAX_BYTES)
 		g_string_assign(msg->text, "[]");
 }
@@ -296,7 +331,10 @@
 	n->next_follower_keepalive_ms = n->now_ms + FOLLOWER_KEEPALIVE_MS;
 }
 
-/* Tell members that the log is being read, though it has no news. */
+/*
+ * Tell members that this node follows the log, if it has sent them no records
+ * for every_ms.
+ */
 static void send_keepalive(struct member_node *n, const GArray *to,
 			   int64_t *next_ms, int64_t every_ms)
 {
@@ -310,7 +348,10 @@
 	member_msg_finish(&msg);
 }
 
-/* Fetch from a peer when the log has not brought us level in time. */
+/*
+ * Update the relay tree, send keepalives, and fetch records from a peer when
+ * the log has not delivered them in time.
+ */
 void sync_tick(struct member_node *n)
 {
 	update_relay_tree(n);
@@ -330,7 +371,10 @@
 		return;
 	n->next_fetch_ms = n->now_ms + FETCH_DELAY_MS;
 	sync_fetch(n, n->ahead_peer);
-	/* Should that peer be gone, the next one heard of takes its place. */
+	/*
+	 * If that peer has failed, the next one that reports a newer offset is
+	 * asked instead.
+	 */
 	n->ahead_applied = n->fleet.applied;
 	n->behind_since_ms = n->now_ms;
 }
@@ -352,17 +396,23 @@
 	member_msg_finish(&msg);
 }
 
-/* A peer lacks records from an offset on. */
+/* A peer asks for the records from an offset on. */
 void sync_on_request(struct member_node *n, const struct member_msg *msg)
 {
 	struct cached_record *first = g_queue_peek_head(n->cache);
 	struct member_msg answer;
 
-	/* Who has all that we have asks whether that is all there is. */
+	/*
+	 * A peer that has applied the same records as this node asks whether it
+	 * has caught up. Only a current node can answer that.
+	 */
 	if (msg->offset > n->fleet.applied + 1 ||
 	    (msg->offset == n->fleet.applied + 1 && !member_is_current(n)))
 		return;
-	/* Who has nothing would replay all records, and needs only the state. */
+	/*
+	 * Send the state to a peer that has applied nothing, which need not
+	 * replay all records, or that lacks records older than the cache.
+	 */
 	if (msg->offset <= n->fleet.applied &&
 	    (!msg->offset || !first || first->offset > msg->offset)) {
 		send_state(n, msg->from);
@@ -376,7 +426,9 @@
 	member_msg_finish(&answer);
 }
 
-/* A peer sends records. */
+/*
+ * Apply the records that a peer sent, and send them on if this node is a relay.
+ */
 void sync_on_records(struct member_node *n, const struct member_msg *msg)
 {
 	int64_t before = n->fleet.applied;
@@ -408,14 +460,19 @@
 		n->last_relay_at_ms = n->now_ms;
 	if (n->is_relay && n->fleet.applied > before)
 		member_relay_records(n, before + 1);
-	/* Announced and not sent, or after others that we lack. */
+	/*
+	 * The message announced records that it does not contain, or others
+	 * before them are missing here. Read them from the log.
+	 */
 	if (n->fleet.applied < msg->applied && n->fleet.applied == before)
 		n->log_read_due = true;
 	else
 		check_caught_up(n, msg);
 }
 
-/* A peer sends a whole state, since it no longer has the records. */
+/*
+ * Replace the state by the complete one that a peer sent in place of records.
+ */
 void sync_on_state(struct member_node *n, const struct member_msg *msg)
 {
 	json_t *state;
