--- a/member/member.h
+++ b/member/member.h
@@ -34,48 +34,54 @@
 
 enum hold_state {
 	HOLD_NONE, /* not served here */
-	HOLD_ACQUIRING, /* ours by the log, others may still serve it */
+	HOLD_ACQUIRING, /* assigned to us; a predecessor may still serve it */
 	HOLD_HELD, /* served here while the lease lasts */
-	HOLD_RELEASING, /* no new requests; those in flight end */
+	HOLD_RELEASING, /* no new requests; waits for those in flight */
 };
 
+/* Predecessors known not to serve a shard, of the last move of the shard. */
 #define RELEASED_BY_PREV_OWNER 1
 #define RELEASED_BY_PREV_SUCCESSOR 2
-/* The same for the move before, when that was not settled. */
+/* The same of the move before, if that was not settled. */
 #define RELEASED_BY_OLDER_OWNER 4
 #define RELEASED_BY_OLDER_SUCCESSOR 8
 
-/* What this node does about one shard of its service. */
+/* This node's hold on one shard of its service. */
 struct hold {
 	enum hold_state state;
-	uint8_t released_by; /* RELEASED_BY_*: predecessors known not to serve */
-	uint8_t as_successor; /* 1: held as successor, ahead of the log */
-	bool has_ids; /* the ids seen before us are known here */
-	int64_t ids_sender; /* the owner that handed them over on leaving */
-	int64_t ids_sender_fence; /* and the fence that it held the shard under */
-	int64_t moved_from; /* the owner that the log took the shard from */
-	int64_t move_fence; /* the shard's fence that clear belongs to */
+	uint8_t released_by; /* RELEASED_BY_* */
+	uint8_t as_successor; /* 1: as successor, before the log records it */
+	bool has_ids; /* the ids that previous owners saw are known here */
+	int64_t ids_sender; /* the leaving owner that sent its ids */
+	int64_t ids_sender_fence; /* the shard's fence under that owner */
+	int64_t moved_from; /* owner before the last move in the log */
+	int64_t move_fence; /* the shard's fence that released_by is for */
 	/*
-	 * What it is served under. Not the shard's own fence: an owner that
-	 * serves on until its witnesses know of a move must not do so under
-	 * the fence of the owner that follows.
+	 * The fence that requests are served under. It can be older than the
+	 * shard's: an owner that serves until its witnesses have applied a move
+	 * must not use the fence of the next owner.
 	 */
 	int64_t served_fence;
 	/*
-	 * A backend server that lost its node may be busy with the shard until
-	 * then. Kept for shards of others too, since they may yet become ours.
+	 * Until then, the backend server of a failed node may be busy with the
+	 * shard. Kept for shards of other members too, since they may move
+	 * here.
 	 */
 	int64_t busy_until_ms;
-	int64_t ids_unknown_since_ms; /* ids from before are not known; 0 none */
+	/*
+	 * Since when ids of previous owners have been missing here; 0: none
+	 * are.
+	 */
+	int64_t ids_unknown_since_ms;
 	int64_t held_since_ms;
-	int64_t unsettled_since_ms; /* its predecessors are waited for; 0 not */
+	int64_t unsettled_since_ms; /* waits for releases since then; 0: not */
 };
 
-/* Moves to us whose predecessors have not all said that they stopped. */
+/* Moves to this node that not every predecessor has released yet. */
 struct unsettled_moves {
 	uint32_t n;
-	uint32_t shard; /* the one that waits longest */
-	int64_t since_ms; /* 0: none waits */
+	uint32_t shard; /* the one unsettled for the longest time */
+	int64_t since_ms; /* 0: none */
 };
 
 /* Our side of one witness of ours. */
@@ -117,7 +123,7 @@
 	N_APPEND_KINDS,
 };
 
-/* A record kept for peers that cannot read the log. */
+/* A recent record, kept for peers that lack it. */
 struct cached_record {
 	int64_t offset;
 	char *append_id;
@@ -191,37 +197,41 @@
 	int64_t next_join_ms;
 	int64_t next_release_request_ms;
 	int64_t next_resign_ms;
-	int64_t next_unsettled_note_ms; /* when an unsettled move is noted again
-					 */
-	GArray *ids_acked_by; /* int64_t heirs that have our ids */
+	int64_t next_unsettled_note_ms;
+	GArray *ids_acked_by; /* int64_t successors that have our ids */
 	/* int64_t earlier incarnations of this host, seen to go */
 	GArray *own_before;
-	int64_t hand_over_since_ms; /* first told our heirs that we leave; 0 not
-				     */
-	int64_t behind_since_ms; /* a peer is known to be ahead; 0 not */
+	int64_t hand_over_since_ms; /* ids first sent on leaving; 0: not */
+	int64_t behind_since_ms; /* a peer has applied more; 0: not */
 	int64_t ahead_peer;
 	int64_t ahead_applied;
 	int64_t unbalanced_since_ms;
 	int64_t snapshot_seen_at_ms;
 	int64_t last_join_ms; /* somebody of our service joined */
-	int64_t unowned_since_ms; /* our service has shards of nobody; 0 not */
+	int64_t unowned_since_ms; /* our service has unowned shards; 0: not */
 	int64_t published_source; /* -1: operators published nothing */
 	int64_t published_since_ms;
 	uint32_t published_bytes;
-	/* What leads there from the configuration of version changes_base. */
+	/*
+	 * The changes from the configuration of version changes_base to the one
+	 * published up to changes_source.
+	 */
 	json_t *changes;
 	int64_t changes_base;
 	int64_t changes_source;
 	bool changes_complete;
-	/* What operators published, worked out once for all parts; or NULL. */
+	/*
+	 * The published configuration document, or NULL. Loaded once for all
+	 * records that the changes to it are split into.
+	 */
 	json_t *operators_document;
 	int64_t operators_document_source;
 	int64_t next_append_ms[N_APPEND_KINDS];
 	uint32_t conflicts[N_APPEND_KINDS]; /* in a row */
 	bool append_pending[N_APPEND_KINDS];
 	GPtrArray *snapshot_parts; /* json_t * still to be appended */
-	int64_t pending_snapshot_offset; /* the offset that they stand for */
-	bool snapshot_partly_written; /* some of them are in the log */
+	int64_t pending_snapshot_offset; /* the offset whose state they hold */
+	bool snapshot_partly_written; /* some parts are in the log */
 	GArray *vouches; /* struct vouch */
 	GArray *watches; /* struct watch */
 	GArray *proofs; /* struct proof */
@@ -231,18 +241,17 @@
 	GQueue *cache; /* struct cached_record, newest last */
 	uint32_t cache_bytes;
 	int64_t next_fetch_ms;
-	bool log_read_due; /* there is news, and it is to be read from the log */
-	int64_t next_relay_update_ms; /* when the four below are worked out anew
-				       */
-	bool is_log_reader; /* we are one of those who wait for news at the log */
-	bool is_relay; /* we pass on what readers pass on to us */
-	GArray *relays; /* int64_t members; a reader passes records on to them */
-	GArray *followers; /* int64_t members that we pass records on to */
-	int64_t last_relay_at_ms; /* we last had word of the log; it may be of
-				     no news */
-	int64_t next_relay_keepalive_ms; /* when we send such a word to relays */
-	int64_t next_follower_keepalive_ms; /* and when to followers */
-	GArray *unsent_releases; /* int64_t shards released since last told */
+	bool log_read_due; /* records lacking here are to be read from the log */
+	int64_t next_relay_update_ms; /* for the next four fields */
+	bool is_log_reader; /* reads the log and sends new records to relays */
+	bool is_relay; /* sends records from log readers to followers */
+	GArray *relays; /* int64_t members that a log reader sends records to */
+	GArray *followers; /* int64_t members that we send records to */
+	/* When a message last came from a member that follows the log. */
+	int64_t last_relay_at_ms;
+	int64_t next_relay_keepalive_ms; /* to relays, if nothing else is sent */
+	int64_t next_follower_keepalive_ms; /* the same to followers */
+	GArray *unsent_releases; /* int64_t shards, owner not told yet */
 	uint32_t disabled_rules; /* tests only */
 	fleet_event_fn on_event; /* audit */
 	void *on_event_user;
@@ -273,14 +282,18 @@
 /* A read that began at sent_ms showed us to be at the log's end. */
 void member_on_log_tail(struct member_node *n, int64_t sent_ms, int64_t now_ms);
 
-/* The append of a kind ended; the record itself arrives by reading. */
+/*
+ * The append of a record of that kind ended with result. The record itself is
+ * applied when it is read from the log.
+ */
 void member_append_done(struct member_node *n, enum append_kind kind,
 			int result, int64_t now_ms);
 
 /*
- * Whether a record of a kind may come after others that its writer has not
- * read: replay drops it where they made it needless. The rest are long, or
- * would move for nothing.
+ * Whether a record of that kind may be appended after records that its writer
+ * has not read. Replay drops such a record if the others made it needless.
+ * False for snapshots, which are long, and for balancing and placement, which
+ * would move shards needlessly.
  */
 bool member_append_may_follow(enum append_kind kind);
 
@@ -305,13 +318,17 @@
 void member_published_read(struct member_node *n, int64_t now_ms);
 
 /*
- * Give shards of ours (uint32_t) to another member, by a record to the log.
- * Returns whether one goes out; those that are not ours or not settled stay.
+ * Move shards (uint32_t) of this node to member to, by a record in the log.
+ * Shards that member_can_move_shard() excludes are left out. Returns whether a
+ * record was proposed.
  */
 bool member_move_shards(struct member_node *n, int64_t to, const GArray *shards,
 			int64_t now_ms);
 
-/* Whether a shard is ours, served and settled, so that it may be given. */
+/*
+ * Whether a shard is owned and served by this node and has no unsettled move,
+ * so that it can be moved.
+ */
 bool member_can_move_shard(const struct member_node *n, uint32_t shard);
 
 /* Name the life of our backend server, before asking to be a member. */
@@ -339,22 +356,29 @@
 bool member_has_news(const struct member_node *n);
 
 /*
- * Whether this node must wait for news at the log itself. Most need not: a few
- * do, and pass records on.
+ * Whether this node must read the log itself. Most members need not: a few read
+ * it and send the records to the others.
  */
 bool member_reads_log(const struct member_node *n);
 
 /*
- * Whether this node waits for what operators publish. Each change is as long as
- * all there is, and would go to every host of a large fleet over its link;
- * those that are first to propose it do, and the others hear of what changes.
+ * Whether this node reads the operators' stream. Each change there is as long
+ * as the whole configuration, and would load the link of every host in a large
+ * fleet. Only the members that are first to propose it read it; the others
+ * receive the differences from the log.
  */
 bool member_reads_operator_stream(const struct member_node *n);
 
-/* Whether those who pass records on to us told lately that they hear of all. */
+/*
+ * Whether a member that sends records to this node has lately confirmed that it
+ * follows the log.
+ */
 bool member_has_live_relay(const struct member_node *n);
 
-/* Records from an offset on were read from the log: pass them on. */
+/*
+ * Send the records from an offset on, just read from the log, to the relays and
+ * followers of this node.
+ */
 void member_relay_records(struct member_node *n, int64_t offset);
 
 /* Whether our lease rests on reads of the log. */
@@ -364,31 +388,35 @@
 int64_t member_lease_end_ms(const struct member_node *n);
 
 /*
- * Tell whether a request on a shard of our service may be handed to the
- * backend server now. On RESULT_OK fence and lease_end_ms are set; otherwise
- * RESULT_NOT_OWNER.
+ * Check whether a request on a shard of this node's service may be sent to the
+ * backend server now. Returns RESULT_OK and sets fence and lease_end_ms, or
+ * returns RESULT_NOT_OWNER.
  */
 int member_may_serve(const struct member_node *n, uint32_t shard,
 		     int64_t now_ms, int64_t *fence, int64_t *lease_end_ms);
 
 /*
- * The same but for the lease, whose end the caller has looked at: for those
- * who ask of many shards at one moment. Sets fence when true.
+ * The same without the check of the lease, for a caller that has checked its
+ * end once for many shards. Sets fence when true.
  */
 bool member_holds(const struct member_node *n, uint32_t shard, int64_t *fence);
 
 /*
- * The moves to us that are not settled. While there is one, nothing of the
- * service is balanced.
+ * The unsettled moves to this node. The service is not balanced while there is
+ * one.
  */
 struct unsettled_moves member_unsettled_moves(const struct member_node *n);
 
-/* Whether a shard is ours by the log, and others may still be serving it. */
+/*
+ * Whether a shard is this node's but not served by it yet; a predecessor may
+ * still be serving it.
+ */
 bool member_is_acquiring(const struct member_node *n, uint32_t shard);
 
 /*
- * Whether a shard is ours by the log, or was of the process before this one
- * beside the same backend server, whose place we are about to take.
+ * Whether a shard is this node's, or is owned by the previous process on this
+ * host, which had the same backend server and which this process is about to
+ * replace as a member.
  */
 bool member_expects_to_own(const struct member_node *n, uint32_t shard);
 
