--- a/member/holds.c
+++ b/member/holds.c
@@ -102,20 +102,21 @@
 			  const struct predecessors *p)
 {
 	const struct hold *h = &n->holds[i];
-	bool from = h->released_by & p->owner_bit;
-	bool successor = h->released_by & p->successor_bit;
+	bool owner_released = h->released_by & p->owner_bit;
+	bool successor_released = h->released_by & p->successor_bit;
 
 	if (!p->owner)
 		return true;
 	if (p->owner == n->self) {
-		from = true;
-		successor = successor ||
-			    witnesses_applied(n, holds_shard(n, i)->fence);
+		owner_released = true;
+		successor_released =
+			successor_released ||
+			witnesses_applied(n, holds_shard(n, i)->fence);
 	}
-	from = from || is_stopped(n, p->owner);
-	successor = successor || p->successor == n->self ||
-		    is_stopped(n, p->successor);
-	return from && successor;
+	owner_released = owner_released || is_stopped(n, p->owner);
+	successor_released = successor_released || p->successor == n->self ||
+			     is_stopped(n, p->successor);
+	return owner_released && successor_released;
 }
 
 /* Whether no previous owner or successor of the shard can still serve it. */
@@ -519,7 +520,7 @@
 bool holds_hand_over_is_done(const struct member_node *n)
 {
 	GArray *successors;
-	bool all = true;
+	bool all_acked = true;
 	uint32_t i;
 
 	if (!n->hand_over_since_ms)
@@ -528,10 +529,11 @@
 		return true;
 	successors = witness_successors(n, n->self);
 	for (i = 0; i < successors->len; i++)
-		all = all && ids_contain(n->ids_acked_by,
-					 g_array_index(successors, int64_t, i));
+		all_acked = all_acked &&
+			    ids_contain(n->ids_acked_by,
+					g_array_index(successors, int64_t, i));
 	g_array_unref(successors);
-	return all;
+	return all_acked;
 }
 
 /* Whether this node neither holds nor is releasing any shard. */
--- a/member/sync.c
+++ b/member/sync.c
@@ -160,33 +160,34 @@
  */
 static void update_relay_tree(struct member_node *n)
 {
-	GArray *all;
+	GArray *senders;
 	struct member *m;
-	uint32_t place, i;
+	uint32_t own_index, i;
 
 	if (n->now_ms < n->next_relay_update_ms)
 		return;
 	n->next_relay_update_ms = n->now_ms + RELAY_UPDATE_INTERVAL_MS;
-	all = assign_readers(&n->fleet);
+	senders = assign_readers(&n->fleet);
 	g_array_set_size(n->followers, 0);
 	g_array_set_size(n->relays, 0);
-	for (place = 0; place < all->len; place++)
-		if (g_array_index(all, int64_t, place) == n->self)
+	for (own_index = 0; own_index < senders->len; own_index++)
+		if (g_array_index(senders, int64_t, own_index) == n->self)
 			break;
-	n->is_log_reader = n->self && place < N_LOG_READERS;
-	n->is_relay = n->self && !n->is_log_reader && place < all->len;
-	for (i = N_LOG_READERS; n->is_log_reader && i < all->len; i++)
-		g_array_append_val(n->relays, g_array_index(all, int64_t, i));
+	n->is_log_reader = n->self && own_index < N_LOG_READERS;
+	n->is_relay = n->self && !n->is_log_reader && own_index < senders->len;
+	for (i = N_LOG_READERS; n->is_log_reader && i < senders->len; i++)
+		g_array_append_val(n->relays,
+				   g_array_index(senders, int64_t, i));
 	for_each_member (&n->fleet, m, i) {
-		uint32_t first = hash_pair("follow", m->id) % all->len;
-		uint32_t second = (first + 1) % all->len;
+		uint32_t first = hash_pair("follow", m->id) % senders->len;
+		uint32_t second = (first + 1) % senders->len;
 
 		if ((n->is_log_reader || n->is_relay) &&
-		    (first == place || second == place) &&
-		    !ids_contain(all, m->id))
+		    (first == own_index || second == own_index) &&
+		    !ids_contain(senders, m->id))
 			g_array_append_val(n->followers, m->id);
 	}
-	g_array_unref(all);
+	g_array_unref(senders);
 }
 
 /*
