--- a/member/member.c
+++ b/member/member.c
@@ -40,8 +40,8 @@
 	 * member that it removes may still have a lease.
 	 */
 	n->no_acquire_until_ms = now_ms + member_lease_wait_ms(n);
-	n->snapshot_seen_ms = now_ms;
-	n->balance_since_ms = now_ms;
+	n->snapshot_seen_at_ms = now_ms;
+	n->unbalanced_since_ms = now_ms;
 	n->own_witnesses =
 		g_array_new(FALSE, FALSE, sizeof(struct witness_status));
 	n->witnessed =
@@ -49,8 +49,8 @@
 	n->stop_promises =
 		g_array_new(FALSE, FALSE, sizeof(struct stop_promise));
 	n->stopped_members = g_array_new(FALSE, FALSE, sizeof(int64_t));
-	n->releases = g_array_new(FALSE, FALSE, sizeof(int64_t));
-	n->handed = g_array_new(FALSE, FALSE, sizeof(int64_t));
+	n->unsent_releases = g_array_new(FALSE, FALSE, sizeof(int64_t));
+	n->ids_acked_by = g_array_new(FALSE, FALSE, sizeof(int64_t));
 	n->earlier_incarnations = g_array_new(FALSE, FALSE, sizeof(int64_t));
 	n->followers = g_array_new(FALSE, FALSE, sizeof(int64_t));
 	n->relays = g_array_new(FALSE, FALSE, sizeof(int64_t));
@@ -67,8 +67,8 @@
 	g_array_unref(n->witnessed);
 	g_array_unref(n->stop_promises);
 	g_array_unref(n->stopped_members);
-	g_array_unref(n->releases);
-	g_array_unref(n->handed);
+	g_array_unref(n->unsent_releases);
+	g_array_unref(n->ids_acked_by);
 	g_array_unref(n->earlier_incarnations);
 	g_array_unref(n->followers);
 	g_array_unref(n->relays);
@@ -76,7 +76,7 @@
 	g_queue_free_full(n->cache, cached_record_free);
 	g_free(n->holds);
 	json_decref(n->changes);
-	json_decref(n->wanted);
+	json_decref(n->operators_document);
 	memset(n, 0, sizeof(*n));
 }
 
@@ -117,14 +117,14 @@
  */
 void member_leave_incarnation(struct member_node *n)
 {
-	holds_drop_all(n);
+	holds_reset(n);
 	g_array_set_size(n->own_witnesses, 0);
 	g_array_set_size(n->stop_promises, 0);
 	n->self_id = 0;
 	n->had_lease = false;
 	n->no_lease_since_ms = 0;
-	n->handed_over_ms = 0;
-	g_array_set_size(n->handed, 0);
+	n->hand_over_since_ms = 0;
+	g_array_set_size(n->ids_acked_by, 0);
 	n->denied_witnesses.n = 0;
 	n->ever_leased = false;
 }
@@ -173,14 +173,14 @@
 		on_member_joined(n, ev->member);
 		break;
 	case FLEET_MEMBER_REMOVED:
-		holds_on_gone(n, ev);
+		holds_on_member_removed(n, ev);
 		on_member_removed(n, ev->member);
 		break;
 	case FLEET_SHARD_MOVED:
-		holds_on_moved(n, ev);
+		holds_on_shard_moved(n, ev);
 		break;
 	case FLEET_SUCCESSOR_REMOVED:
-		holds_on_successor_gone(n, ev);
+		holds_on_successor_removed(n, ev);
 		break;
 	default:
 		break;
@@ -232,9 +232,9 @@
 		/* The writer of this one continues; the others wait again. */
 		n->published_since_ms = n->now_ms;
 	}
-	sync_remember(n, offset, append_id, record);
+	sync_cache_record(n, offset, append_id, record);
 	if (n->fleet.snapshot_offset != snapshot)
-		n->snapshot_seen_ms = n->now_ms;
+		n->snapshot_seen_at_ms = n->now_ms;
 	witness_update_subjects(n);
 	return err;
 }
@@ -369,12 +369,12 @@
 	const struct member *m = fleet_member(&n->fleet, n->self_id);
 	uint32_t i;
 
-	if (!m || !n->resigning || !holds_idle(n) ||
+	if (!m || !n->resigning || !holds_is_idle(n) ||
 	    n->now_ms < n->next_resign_at_ms)
 		return;
 	n->next_resign_at_ms = n->now_ms + RESIGN_INTERVAL_MS;
 	holds_hand_over(n);
-	if (!holds_handed_over(n))
+	if (!holds_hand_over_is_done(n))
 		return;
 	for (i = 0; i < m->witnesses.n; i++)
 		send_resign(n, m->witnesses.id[i]);
@@ -435,19 +435,19 @@
 	[MSG_VOUCH] = lease_on_vouch,
 	[MSG_STOP_PROMISE] = takeover_on_promise,
 	[MSG_RESIGN] = witness_on_resign,
-	[MSG_RECORDS_REQUEST] = sync_on_ask,
+	[MSG_RECORDS_REQUEST] = sync_on_request,
 	[MSG_RECORDS] = sync_on_records,
 	[MSG_STATE] = sync_on_state,
-	[MSG_RELEASE_REQUEST] = holds_on_ask,
+	[MSG_RELEASE_REQUEST] = holds_on_release_request,
 	[MSG_RELEASE] = holds_on_release,
-	[MSG_IDS_ACK] = holds_on_handed,
+	[MSG_IDS_ACK] = holds_on_ids_ack,
 };
 
 void member_on_message(struct member_node *n, const struct member_msg *msg,
 		       int64_t now_ms)
 {
 	n->now_ms = MAX(n->now_ms, now_ms);
-	sync_heard(n, msg->from, msg->applied);
+	sync_on_peer_offset(n, msg->from, msg->applied);
 	/*
 	 * A restarted process does not know the promises of the previous
 	 * process. If it answered messages for that one, it might vouch for a
@@ -497,7 +497,7 @@
 {
 	if (!n->self_id)
 		return true;
-	return n->resigning && holds_idle(n) && lease_is_irrecoverable(n);
+	return n->resigning && holds_is_idle(n) && lease_is_irrecoverable(n);
 }
 
 static uint32_t add_candidate(const struct member_node *n, int64_t id,
--- a/member/sync.c
+++ b/member/sync.c
@@ -7,43 +7,56 @@
 #include "util/result.h"
 
 /*
- * Records reach a node that cannot read the log from its peers: an offset
- * identifies a record, so a copy from anybody is as good as the log's own.
+ * Replication of records between members, for those that cannot or need not
+ * read the log. An offset identifies a record, so a copy from any peer can
+ * replace the log's.
  */
 
-#define BEHIND_MS 300
+/* How long a node is behind a peer before it fetches records from the peer. */
+#define FETCH_DELAY_MS 300
 /*
- * While the log can be read it is asked first: what is long would go out once
- * for each who lacks it over one peer's link, 300 kB eighteen times over one of
- * 10 Mbit/s take four seconds.
+ * Longer while the log can be read: a long record would otherwise be sent over
+ * one peer's link to each node that lacks it. Sending 300 kB eighteen times
+ * over a link of 10 Mbit/s takes four seconds.
  */
-#define BEHIND_LOG_UP_MS 1000
+#define FETCH_DELAY_LOG_UP_MS 1000
 #define CACHE_MAX_BYTES (1024 * 1024)
 #define CACHE_MAX_RECORDS 4096
 #define BATCH_MAX_BYTES (256 * 1024)
-/* What is longer in its short form is read by each; the store's bytes are cheap.
+/*
+ * Records that are longer than this after compression are not relayed: each
+ * node reads them from the log, since the store's bandwidth is cheap.
+ */
+#define RELAY_MAX_BYTES (8 * 1024)
+/* Longer texts are compressed and begin with the mark; JSON never does. */
+#define UNCOMPRESSED_MAX_BYTES 2048
+#define COMPRESSED_MARK 'z'
+#define RELAY_UPDATE_INTERVAL_MS 500
+/* In fleets up to this size every member reads the log. */
+#define ALL_READ_LOG_MAX_MEMBERS 4
+/* In fleets up to this size every member reads the operators' stream. */
+#define ALL_READ_OPERATORS_MAX_MEMBERS 24
+/*
+ * In larger fleets this many members do. They seldom all fail, or lose the
+ * connection to the store, at the same time.
  */
-#define PASS_ON_MAX_BYTES (8 * 1024)
-/* Text longer than this is compressed; JSON never begins with the mark. */
-#define PLAIN_MAX_BYTES 2048
-#define SHORT_FORM 'z'
-#define READERS_EVERY_MS 500
-/* So few wait at the log all of them. */
-#define FEW_MEMBERS 4
-/* Fewer read what operators publish in fleets larger than this. */
-#define ALL_READ_MEMBERS 24
-/* Rarely are all of them gone or cut off from the store at once. */
 #define N_OPERATOR_READERS 12
-/* The first of the readers by rank read for all, so that one may be lost. */
-#define FIRST_READERS 2
-/* Relays read the log themselves once no reader has sent word for so long. */
-#define RELAY_WORD_EVERY_MS 400
-#define RELAY_LACKS_WORD_MS 1500
-/* Followers look at it themselves now and then after that. */
-#define FOLLOWER_WORD_EVERY_MS 2000
-#define FOLLOWER_LACKS_WORD_MS 6000
-
-/* Release one cached record. */
+/* The number of members that read the log for all, so that one may fail. */
+#define N_LOG_READERS 2
+/*
+ * A relay that has received nothing from a log reader for RELAY_TIMEOUT_MS, not
+ * even a keepalive, reads the log itself.
+ */
+#define RELAY_KEEPALIVE_MS 400
+#define RELAY_TIMEOUT_MS 1500
+/*
+ * A follower that has received nothing for FOLLOWER_TIMEOUT_MS reads the log
+ * itself more often.
+ */
+#define FOLLOWER_KEEPALIVE_MS 2000
+#define FOLLOWER_TIMEOUT_MS 6000
+
+/* Free a struct cached_record. */
 void cached_record_free(gpointer p)
 {
 	struct cached_record *c = p;
@@ -54,34 +67,36 @@
 }
 
 /*
- * Who has applied what comes before a part of a snapshot has no need of it, and
- * who has nothing is handed the state. So that it need not be read by each
- * because it is long, it is kept without what it holds.
+ * The text of a record for the cache. A part of a snapshot is cached without
+ * its data, since a peer that has applied the records before it does not need
+ * the data, and a peer that has applied nothing is sent the state. With its
+ * data a part would be too long to relay, and each node would have to read it
+ * from the log.
  */
-static char *text_to_keep(const json_t *record)
+static char *text_to_cache(const json_t *record)
 {
 	const char *type = json_string_value(json_object_get(record, "type"));
-	json_t *bare;
+	json_t *without_data;
 	char *text;
 
 	if (g_strcmp0(type, "snapshot"))
 		return json_dumps(record, JSON_COMPACT);
-	bare = json_copy((json_t *)record);
-	json_object_set_new(bare, "data", json_string(""));
-	text = json_dumps(bare, JSON_COMPACT);
-	json_decref(bare);
+	without_data = json_copy((json_t *)record);
+	json_object_set_new(without_data, "data", json_string(""));
+	text = json_dumps(without_data, JSON_COMPACT);
+	json_decref(without_data);
 	return text;
 }
 
-/* Keep a record that was just applied for peers that lack it. */
-void sync_remember(struct member_node *n, int64_t offset, const char *append_id,
-		   const json_t *record)
+/* Cache a record that was just applied, for peers that lack it. */
+void sync_cache_record(struct member_node *n, int64_t offset,
+		       const char *append_id, const json_t *record)
 {
 	struct cached_record *c = g_new0(struct cached_record, 1);
 
 	c->offset = offset;
 	c->append_id = g_strdup(append_id);
-	c->text = text_to_keep(record);
+	c->text = text_to_cache(record);
 	n->cache_bytes += strlen(c->text);
 	g_queue_push_tail(n->cache, c);
 	while (n->cache_bytes > CACHE_MAX_BYTES ||
@@ -92,8 +107,8 @@
 	}
 }
 
-/* A peer named the offset that it has applied. */
-void sync_heard(struct member_node *n, int64_t peer, int64_t applied)
+/* A peer reported the offset of the last record that it has applied. */
+void sync_on_peer_offset(struct member_node *n, int64_t peer, int64_t applied)
 {
 	if (applied <= n->fleet.applied || applied <= n->ahead_applied)
 		return;
@@ -103,7 +118,7 @@
 		n->behind_since_ms = n->now_ms;
 }
 
-/* Ask a peer for the records that we lack. */
+/* Ask a peer for the records after the last one applied here. */
 void sync_fetch(struct member_node *n, int64_t peer)
 {
 	struct member_msg msg;
@@ -114,11 +129,12 @@
 }
 
 /*
- * What a peer sent has been applied. A peer's answer is cut at a size, so it
- * may take several; the last one brings us level with it. A peer that has just
- * started itself may be far behind, and to be level with it means nothing.
+ * Fetch more records from the peer that sent msg, or note that this node has
+ * caught up with it. Called when what msg brought has been applied. An answer
+ * is limited in size, so several may be needed. A peer that has just started
+ * may be far behind itself, so only a peer that is current counts.
  */
-static void caught_up_with(struct member_node *n, const struct member_msg *msg)
+static void check_caught_up(struct member_node *n, const struct member_msg *msg)
 {
 	if (n->fleet.applied < msg->applied) {
 		sync_fetch(n, msg->from);
@@ -137,98 +153,114 @@
 }
 
 /*
- * A read costs a call for each who reads, so two do: they pass records on to
- * the relays, and each relay to its followers. Each follower has two relays or
- * readers, so that the loss of one goes unnoticed.
+ * Choose the log readers, relays and followers again. Each reader costs the
+ * store a call per read, so two members read the log. They send the records to
+ * the relays, and each relay sends them to its followers. Each follower has two
+ * senders, readers or relays, so that it misses nothing when one fails.
  */
-static void refresh_readers(struct member_node *n)
+static void update_relay_tree(struct member_node *n)
 {
-	GArray *all;
+	GArray *senders;
 	struct member *m;
-	uint32_t place, i;
+	uint32_t own_index, i;
 
-	if (n->now_ms < n->next_readers_ms)
+	if (n->now_ms < n->next_relay_update_ms)
 		return;
-	n->next_readers_ms = n->now_ms + READERS_EVERY_MS;
-	all = assign_readers_and_relays(&n->fleet);
+	n->next_relay_update_ms = n->now_ms + RELAY_UPDATE_INTERVAL_MS;
+	senders = assign_readers_and_relays(&n->fleet);
 	g_array_set_size(n->followers, 0);
 	g_array_set_size(n->relays, 0);
-	for (place = 0; place < all->len; place++)
-		if (g_array_index(all, int64_t, place) == n->self_id)
+	for (own_index = 0; own_index < senders->len; own_index++)
+		if (g_array_index(senders, int64_t, own_index) == n->self_id)
 			break;
-	n->is_reader = n->self_id && place < FIRST_READERS;
-	n->is_relay = n->self_id && !n->is_reader && place < all->len;
-	for (i = FIRST_READERS; n->is_reader && i < all->len; i++)
-		g_array_append_val(n->relays, g_array_index(all, int64_t, i));
+	n->is_log_reader = n->self_id && own_index < N_LOG_READERS;
+	n->is_relay = n->self_id && !n->is_log_reader &&
+		      own_index < senders->len;
+	for (i = N_LOG_READERS; n->is_log_reader && i < senders->len; i++)
+		g_array_append_val(n->relays,
+				   g_array_index(senders, int64_t, i));
 	for_each_member (&n->fleet, m, i) {
-		uint32_t first = hash_pair("follow", m->id) % all->len;
-		uint32_t second = (first + 1) % all->len;
+		uint32_t first = hash_pair("follow", m->id) % senders->len;
+		uint32_t second = (first + 1) % senders->len;
 
-		if ((n->is_reader || n->is_relay) &&
-		    (first == place || second == place) &&
-		    !ids_contain(all, m->id))
+		if ((n->is_log_reader || n->is_relay) &&
+		    (first == own_index || second == own_index) &&
+		    !ids_contain(senders, m->id))
 			g_array_append_val(n->followers, m->id);
 	}
-	g_array_unref(all);
+	g_array_unref(senders);
 }
 
-/* Readers may all be gone or cut off, and nobody would notice news. */
-static bool relay_lacks_word(const struct member_node *n)
+/*
+ * Whether this node is a relay that has received nothing from a log reader for
+ * RELAY_TIMEOUT_MS. All readers may have failed or be cut off from the log, and
+ * new records would go unnoticed.
+ */
+static bool relay_timed_out(const struct member_node *n)
 {
-	return n->is_relay && n->now_ms - n->told_ms > RELAY_LACKS_WORD_MS;
+	return n->is_relay &&
+	       n->now_ms - n->last_relay_at_ms > RELAY_TIMEOUT_MS;
 }
 
-/* Whether news of the log reaches us, so that silence means none. */
-static bool hears_of_log(const struct member_node *n)
+/*
+ * Whether new records of the log reach this node, so that it can tell others
+ * that there are none.
+ */
+static bool follows_log(const struct member_node *n)
 {
-	if (n->is_reader || relay_lacks_word(n))
+	if (n->is_log_reader || relay_timed_out(n))
 		return n->log_up;
 	return n->is_relay;
 }
 
 bool member_reads_log(const struct member_node *n)
 {
-	return !n->self_id || n->is_reader || relay_lacks_word(n) ||
+	return !n->self_id || n->is_log_reader || relay_timed_out(n) ||
 	       member_lease_needs_log(n) ||
-	       fleet_n_members(&n->fleet) <= FEW_MEMBERS;
+	       fleet_n_members(&n->fleet) <= ALL_READ_LOG_MAX_MEMBERS;
 }
 
-bool member_reads_operators(const struct member_node *n)
+bool member_reads_operator_stream(const struct member_node *n)
 {
 	return !n->self_id || !member_is_current(n) ||
-	       fleet_n_members(&n->fleet) <= ALL_READ_MEMBERS ||
+	       fleet_n_members(&n->fleet) <= ALL_READ_OPERATORS_MAX_MEMBERS ||
 	       assign_rank(&n->fleet, "publish", n->self_id) <
 		       N_OPERATOR_READERS;
 }
 
-bool member_is_told(const struct member_node *n)
+bool member_has_live_relay(const struct member_node *n)
 {
-	int64_t since = n->now_ms - n->told_ms;
+	int64_t since = n->now_ms - n->last_relay_at_ms;
 
 	if (n->is_relay)
-		return since <= RELAY_LACKS_WORD_MS;
-	return n->told_ms && since <= FOLLOWER_LACKS_WORD_MS;
+		return since <= RELAY_TIMEOUT_MS;
+	return n->last_relay_at_ms && since <= FOLLOWER_TIMEOUT_MS;
 }
 
-static void shorten(GString *text)
+/* Compress a long text in place. */
+static void compress_text(GString *text)
 {
-	GString *packed;
+	GString *compressed;
 
-	if (text->len <= PLAIN_MAX_BYTES)
+	if (text->len <= UNCOMPRESSED_MAX_BYTES)
 		return;
-	packed = deflate_bytes(text->str, text->len);
+	compressed = deflate_bytes(text->str, text->len);
 	g_string_truncate(text, 0);
-	g_string_append_c(text, SHORT_FORM);
-	g_string_append_len(text, packed->str, packed->len);
-	g_string_free(packed, TRUE);
+	g_string_append_c(text, COMPRESSED_MARK);
+	g_string_append_len(text, compressed->str, compressed->len);
+	g_string_free(compressed, TRUE);
 }
 
-static json_t *load_text(const GString *text)
+/*
+ * The JSON of a text that may be compressed, as a new reference; NULL if it is
+ * malformed.
+ */
+static json_t *parse_text(const GString *text)
 {
 	GString *plain;
 	json_t *o;
 
-	if (!text->len || text->str[0] != SHORT_FORM)
+	if (!text->len || text->str[0] != COMPRESSED_MARK)
 		return json_loadb(text->str, text->len, 0, NULL);
 	plain = inflate_bytes(text->str + 1, text->len - 1, MSG_MAX_TEXT);
 	if (!plain)
@@ -238,8 +270,8 @@
 	return o;
 }
 
-/* Records from an offset on, as text for MSG_RECORDS. */
-static GString *records_from(const struct member_node *n, int64_t offset)
+/* The cached records from an offset on, as text for MSG_RECORDS. */
+static GString *format_records(const struct member_node *n, int64_t offset)
 {
 	GString *text = g_string_new("[");
 	GList *l;
@@ -254,7 +286,7 @@
 					       c->append_id, c->text);
 	}
 	g_string_append_c(text, ']');
-	shorten(text);
+	compress_text(text);
 	return text;
 }
 
@@ -267,69 +299,85 @@
 		member_send(n, g_array_index(ids, int64_t, i), msg);
 }
 
-/* Records from an offset on for those who do not read them. */
-static void passed_on_init(const struct member_node *n, int64_t offset,
+/*
+ * Fill in a message with the records from an offset on, for members that do not
+ * read the log.
+ */
+static void relay_msg_init(const struct member_node *n, int64_t offset,
 			   struct member_msg *msg)
 {
 	member_msg_init(msg, MSG_RECORDS);
 	msg->offset = offset;
 	msg->flags = sender_flags(n);
-	if (hears_of_log(n))
+	if (follows_log(n))
 		msg->flags |= SENDER_FOLLOWS_LOG;
-	msg->text = records_from(n, offset);
-	/* What is long they read themselves; that there is news is enough. */
-	if (msg->text->len > PASS_ON_MAX_BYTES)
+	msg->text = format_records(n, offset);
+	/*
+	 * The receivers read long records from the log. The applied offset in
+	 * the message tells them that there are new ones.
+	 */
+	if (msg->text->len > RELAY_MAX_BYTES)
 		g_string_assign(msg->text, "[]");
 }
 
-void member_pass_on(struct member_node *n, int64_t offset)
+void member_relay_records(struct member_node *n, int64_t offset)
 {
 	struct member_msg msg;
 
 	if (!n->followers->len && !n->relays->len)
 		return;
-	passed_on_init(n, offset, &msg);
+	relay_msg_init(n, offset, &msg);
 	send_to_each(n, n->relays, &msg);
 	send_to_each(n, n->followers, &msg);
 	member_msg_finish(&msg);
-	n->next_relay_word_ms = n->now_ms + RELAY_WORD_EVERY_MS;
-	n->next_follower_word_ms = n->now_ms + FOLLOWER_WORD_EVERY_MS;
+	n->next_relay_keepalive_ms = n->now_ms + RELAY_KEEPALIVE_MS;
+	n->next_follower_keepalive_ms = n->now_ms + FOLLOWER_KEEPALIVE_MS;
 }
 
-/* Tell members that the log is being read, though it has no news. */
-static void send_word(struct member_node *n, const GArray *to, int64_t *next_ms,
-		      int64_t every_ms)
+/*
+ * Tell members that this node follows the log, if it has sent them no records
+ * for every_ms.
+ */
+static void send_keepalive(struct member_node *n, const GArray *to,
+			   int64_t *next_ms, int64_t every_ms)
 {
 	struct member_msg msg;
 
-	if (!to->len || n->now_ms < *next_ms || !hears_of_log(n))
+	if (!to->len || n->now_ms < *next_ms || !follows_log(n))
 		return;
 	*next_ms = n->now_ms + every_ms;
-	passed_on_init(n, n->fleet.applied + 1, &msg);
+	relay_msg_init(n, n->fleet.applied + 1, &msg);
 	send_to_each(n, to, &msg);
 	member_msg_finish(&msg);
 }
 
-/* Fetch from a peer when the log has not brought us level in time. */
+/*
+ * Update the relay tree, send keepalives, and fetch records from a peer when
+ * the log has not delivered them in time.
+ */
 void sync_tick(struct member_node *n)
 {
-	refresh_readers(n);
-	send_word(n, n->relays, &n->next_relay_word_ms, RELAY_WORD_EVERY_MS);
-	send_word(n, n->followers, &n->next_follower_word_ms,
-		  FOLLOWER_WORD_EVERY_MS);
+	update_relay_tree(n);
+	send_keepalive(n, n->relays, &n->next_relay_keepalive_ms,
+		       RELAY_KEEPALIVE_MS);
+	send_keepalive(n, n->followers, &n->next_follower_keepalive_ms,
+		       FOLLOWER_KEEPALIVE_MS);
 	if (n->fleet.applied >= n->ahead_applied) {
 		n->behind_since_ms = 0;
 		return;
 	}
 	if (!n->behind_since_ms ||
 	    n->now_ms - n->behind_since_ms <
-		    (n->log_up ? BEHIND_LOG_UP_MS : BEHIND_MS))
+		    (n->log_up ? FETCH_DELAY_LOG_UP_MS : FETCH_DELAY_MS))
 		return;
 	if (n->now_ms < n->next_fetch_ms)
 		return;
-	n->next_fetch_ms = n->now_ms + BEHIND_MS;
+	n->next_fetch_ms = n->now_ms + FETCH_DELAY_MS;
 	sync_fetch(n, n->ahead_peer);
-	/* Should that peer be gone, the next one heard of takes its place. */
+	/*
+	 * If that peer has failed, the next one that reports a newer offset is
+	 * asked instead.
+	 */
 	n->ahead_applied = n->fleet.applied;
 	n->behind_since_ms = n->now_ms;
 }
@@ -344,24 +392,30 @@
 	msg.offset = n->fleet.applied;
 	msg.flags = sender_flags(n);
 	msg.text = g_string_new(text);
-	shorten(msg.text);
+	compress_text(msg.text);
 	free(text);
 	json_decref(state);
 	member_send(n, to, &msg);
 	member_msg_finish(&msg);
 }
 
-/* A peer lacks records from an offset on. */
-void sync_on_ask(struct member_node *n, const struct member_msg *msg)
+/* A peer asks for the records from an offset on. */
+void sync_on_request(struct member_node *n, const struct member_msg *msg)
 {
 	struct cached_record *first = g_queue_peek_head(n->cache);
 	struct member_msg answer;
 
-	/* Who has all that we have asks whether that is all there is. */
+	/*
+	 * A peer that has applied the same records as this node asks whether it
+	 * has caught up. Only a current node can answer that.
+	 */
 	if (msg->offset > n->fleet.applied + 1 ||
 	    (msg->offset == n->fleet.applied + 1 && !member_is_current(n)))
 		return;
-	/* Who has nothing would replay all records, and needs only the state. */
+	/*
+	 * Send the state to a peer that has applied nothing, which need not
+	 * replay all records, or that lacks records older than the cache.
+	 */
 	if (msg->offset <= n->fleet.applied &&
 	    (!msg->offset || !first || first->offset > msg->offset)) {
 		send_state(n, msg->from);
@@ -370,12 +424,14 @@
 	member_msg_init(&answer, MSG_RECORDS);
 	answer.offset = msg->offset;
 	answer.flags = sender_flags(n);
-	answer.text = records_from(n, msg->offset);
+	answer.text = format_records(n, msg->offset);
 	member_send(n, msg->from, &answer);
 	member_msg_finish(&answer);
 }
 
-/* A peer sends records. */
+/*
+ * Apply the records that a peer sent, and send them on if this node is a relay.
+ */
 void sync_on_records(struct member_node *n, const struct member_msg *msg)
 {
 	int64_t before = n->fleet.applied;
@@ -385,7 +441,7 @@
 
 	if (!msg->text)
 		return;
-	list = load_text(msg->text);
+	list = parse_text(msg->text);
 	json_array_foreach(list, i, pair)
 	{
 		const char *id = json_string_value(json_array_get(pair, 0));
@@ -404,31 +460,36 @@
 	}
 	json_decref(list);
 	if (msg->flags & SENDER_FOLLOWS_LOG)
-		n->told_ms = n->now_ms;
+		n->last_relay_at_ms = n->now_ms;
 	if (n->is_relay && n->fleet.applied > before)
-		member_pass_on(n, before + 1);
-	/* Announced and not sent, or after others that we lack. */
+		member_relay_records(n, before + 1);
+	/*
+	 * The message announced records that it does not contain, or others
+	 * before them are missing here. Read them from the log.
+	 */
 	if (n->fleet.applied < msg->applied && n->fleet.applied == before)
-		n->read_now = true;
+		n->log_read_due = true;
 	else
-		caught_up_with(n, msg);
+		check_caught_up(n, msg);
 }
 
-/* A peer sends a whole state, since it no longer has the records. */
+/*
+ * Replace the state by the complete one that a peer sent in place of records.
+ */
 void sync_on_state(struct member_node *n, const struct member_msg *msg)
 {
 	json_t *state;
 
 	if (!msg->text || msg->offset <= n->fleet.applied)
 		return;
-	state = load_text(msg->text);
+	state = parse_text(msg->text);
 	if (!state) {
 		COUNT(peer_messages_malformed);
 		return;
 	}
 	if (!fleet_load_snapshot(&n->fleet, state)) {
 		member_state_replaced(n);
-		caught_up_with(n, msg);
+		check_caught_up(n, msg);
 	}
 	json_decref(state);
 }
--- a/node/gate.c
+++ b/node/gate.c
@@ -301,7 +301,7 @@
 	      r->keyed && grants_server_holds(&g->grants, r->shard, fence, now)
 		      ? "true"
 		      : "false",
-	      r->keyed && member_awaits(n, r->shard) ? "true" : "false",
+	      r->keyed && member_is_acquiring(n, r->shard) ? "true" : "false",
 	      member_lease_end_ms(n) - now, g->load.n_in_flight,
 	      g->load.queue.heap->len, g->load.limit.allowed,
 	      cold_start_is_active(&g->load.cold_start, now) ? "true" : "false",
