--- a/gate/delay.h
+++ b/gate/delay.h
@@ -21,7 +21,7 @@
 void delay_init(struct delay *d, int64_t sent_ms, int64_t arrived_ms);
 
 /*
- * Takes in a message and returns its delay: milliseconds beyond the fastest
+ * Records a message and returns its delay: milliseconds beyond the fastest
  * message of this window and the one before, 0 or more.
  */
 int64_t delay_update(struct delay *d, int64_t sent_ms, int64_t arrived_ms);
--- a/gate/grant-beat.h
+++ b/gate/grant-beat.h
@@ -15,7 +15,7 @@
  */
 
 /*
- * Takes in the rows (struct grant_row) that a heartbeat reports as held and as
+ * Processes the rows (struct grant_row) that a heartbeat reports as held and as
  * released. heartbeat: its number. hold_max_ms: the longest that a grant of a
  * previous process can last.
  */
--- a/gate/grant-call.h
+++ b/gate/grant-call.h
@@ -13,7 +13,7 @@
  * server; the same call sent again renews the grant. Another call makes the
  * backend server release keys; it is answered, with a handover, once the work
  * in progress on these keys has ended. This module decides which call to make
- * next and takes in its outcome; other code sends the calls. No input or
+ * next and records its outcome; other code sends the calls. No input or
  * output; the time is passed in.
  *
  * A shard is free, held, or unknown: it may have been granted by a previous
@@ -61,7 +61,7 @@
 };
 
 /*
- * Takes in that the backend server sent a heartbeat. No calls are made before
+ * Records that the backend server sent a heartbeat. No calls are made before
  * the first one.
  */
 void grant_call_heartbeat_received(struct grants *g);
@@ -77,7 +77,7 @@
 		     struct grant_call *c);
 
 /*
- * Takes in the outcome of a call. handover: the handover in the answer to a
+ * Records the outcome of a call. handover: the handover in the answer to a
  * release, or NULL.
  */
 void grant_call_done(struct grants *g, const struct grant_call *c,
--- a/gate/grants.h
+++ b/gate/grants.h
@@ -199,7 +199,7 @@
 void grants_export(const struct grants *g, uint32_t shard, GArray *out);
 
 /*
- * Takes in an entry of grants_export(). Returns false if the entry is of
+ * Imports an entry of grants_export(). Returns false if the entry is of
  * another kind.
  */
 bool grants_import(struct grants *g, const int64_t *entry);
--- a/gate/life.h
+++ b/gate/life.h
@@ -16,8 +16,8 @@
 struct server_instance {
 	char id[INSTANCE_ID_MAX_LEN + 1]; /* "" if none is known */
 	int64_t started_ms; /* wall clock of the backend server's host */
-	int64_t heartbeat_number; /* of the last one taken in */
-	int64_t heard_at_ms; /* last heartbeat taken in, by this node's clock */
+	int64_t heartbeat_number; /* of the last one recorded */
+	int64_t heard_at_ms; /* time of the last one, by this node's clock */
 };
 
 enum instance_check {
@@ -27,8 +27,9 @@
 };
 
 /*
- * Takes in heartbeat number of the instance id that started at started_ms (Unix
- * time of its host). A stale heartbeat changes nothing.
+ * Checks a heartbeat, and records it unless it is stale. id and started_ms (by
+ * the wall clock of its host) identify the instance that sent it; number counts
+ * the heartbeats of that instance.
  */
 enum instance_check instance_on_heartbeat(struct server_instance *s,
 					  const char *id, int64_t started_ms,
--- a/gate/limit.h
+++ b/gate/limit.h
@@ -70,7 +70,7 @@
 bool limit_allows(struct limit *l, uint32_t in_flight);
 
 /*
- * Takes in the outcome of a request that was started at started_ms. A request
+ * Records the outcome of a request that was started at started_ms. A request
  * that was in flight when an overload episode began is no further evidence of
  * overload.
  */
