--- a/member/propose.c
+++ b/member/propose.c
@@ -225,9 +225,9 @@
 	n->next_join_ms = n->now_ms + RETRY_MS + append_jitter_ms(n);
 	/*
 	 * End the old incarnation before the append. Other nodes may read the
-	 * new join record before this one does, and take over its shards; a
-	 * late answer from a witness must not renew the old lease in the
-	 * meantime.
+	 * new join record before this node does, and take over this node's
+	 * shards; a late answer from a witness must not renew the old lease in
+	 * the meantime.
 	 */
 	if (n->self) {
 		collect_unresponsive_witnesses(n);
