--- a/node/entry-answer.c
+++ b/node/entry-answer.c
@@ -16,21 +16,22 @@
 #define MS_PER_S 1000
 
 /* Keep how an attempt ended, for the line about its request. */
-void entry_note_attempt(struct entry_request *r, const struct attempt *a,
-			int result)
+void entry_record_attempt(struct entry_request *r, const struct attempt *a,
+			  int result)
 {
-	struct past_attempt *p = &r->past[r->n_past++ % MAX_PAST];
+	struct past_attempt *p =
+		&r->past_attempts[r->n_past_attempts++ % MAX_PAST_ATTEMPTS];
 
 	p->member = a->member;
 	p->result = result;
-	p->ms = (clock_now_us() - a->sent_us) / 1000;
+	p->ms = (clock_now_us() - a->sent_at_us) / 1000;
 }
 
 /* All attempts in one line, so that no other has to be looked up. */
-static const char *past_text(const struct entry_request *r)
+static const char *past_attempts_text(const struct entry_request *r)
 {
 	static char out[256];
-	uint32_t n = MIN(r->n_past, MAX_PAST);
+	uint32_t n = MIN(r->n_past_attempts, MAX_PAST_ATTEMPTS);
 	uint32_t i;
 	int at = 0;
 
@@ -38,13 +39,14 @@
 	for (i = 0; i < n; i++)
 		at += g_snprintf(out + at, sizeof(out) - at,
 				 "%s[%" PRId64 ",\"%s\",%" PRId64 "]",
-				 i ? "," : "", r->past[i].member,
-				 result_name(r->past[i].result), r->past[i].ms);
+				 i ? "," : "", r->past_attempts[i].member,
+				 result_name(r->past_attempts[i].result),
+				 r->past_attempts[i].ms);
 	return out;
 }
 
-static void note_end(struct entry_request *r, enum event e, const char *why,
-		     int64_t wait_ms)
+static void emit_outcome(struct entry_request *r, enum event e, const char *why,
+			 int64_t wait_ms)
 {
 	int64_t now = clock_now_ms();
 	const struct plan *p = &r->plan;
@@ -57,10 +59,10 @@
 		    ",\"left_ms\":%" PRId64 ",\"wait_ms\":%" PRId64
 		    ",\"tries\":%u,\"reached\":%u,\"attempts\":[%s]",
 		    event_text(r->class_name), event_text(r->service),
-		    r->version, p->keyed ? (int64_t)r->shard : -1,
+		    r->configuration_version, p->keyed ? (int64_t)r->shard : -1,
 		    event_text(why), now - p->received_at_ms,
 		    p->deadline_ms - now, wait_ms, p->tries,
-		    plan_n_servers_reached(p), past_text(r));
+		    plan_n_servers_reached(p), past_attempts_text(r));
 }
 
 static double age_ms(const struct entry_request *r)
@@ -120,7 +122,7 @@
 		return;
 	COUNT(requests_not_run);
 	MEASURE(refused_ms, age_ms(r));
-	note_end(r, EVENT_request_refused, text, wait_ms);
+	emit_outcome(r, EVENT_request_refused, text, wait_ms);
 	reply(r, 503, OUTCOME_NOT_RUN, wait_ms, text);
 }
 
@@ -141,7 +143,7 @@
 	COUNT(requests_unknown);
 	counters[cause_counters[cause]]++;
 	MEASURE(unknown_ms, age_ms(r));
-	note_end(r, EVENT_request_unknown, plan_cause_text(cause), -1);
+	emit_outcome(r, EVENT_request_unknown, plan_cause_text(cause), -1);
 	reply(r, 504, OUTCOME_UNKNOWN, r->plan.repeatable ? MS_PER_S : -1,
 	      "no whole answer came; the request may have run\n");
 }
@@ -150,7 +152,7 @@
 void entry_reject(struct entry_request *r, uint32_t status, const char *text)
 {
 	COUNT(requests_rejected);
-	note_end(r, EVENT_request_rejected, text, -1);
+	emit_outcome(r, EVENT_request_rejected, text, -1);
 	reply(r, status, NULL, -1, text);
 }
 
@@ -172,19 +174,21 @@
 	return headers;
 }
 
-static bool whole(const struct entry_request *r, const struct request_msg *m)
+static bool answer_is_complete(const struct entry_request *r,
+			       const struct request_msg *m)
 {
 	return m->total == r->received_bytes &&
 	       m->digest == XXH64_digest(&r->digest);
 }
 
-static void take_bytes(struct entry_request *r, const struct request_msg *m)
+static void add_answer_bytes(struct entry_request *r,
+			     const struct request_msg *m)
 {
 	XXH64_update(&r->digest, m->data, m->len);
 	r->received_bytes += m->len;
 }
 
-static void note_answered(struct entry_request *r, const struct attempt *a,
+static void emit_answered(struct entry_request *r, const struct attempt *a,
 			  int64_t status)
 {
 	MEASURE(answered_ms, age_ms(r));
@@ -194,12 +198,13 @@
 	      "\"class\":\"%s\",\"gate\":%" PRId64 ",\"status\":%" PRId64
 	      ",\"age_ms\":%.0f,\"tries\":%u,\"hedge\":%s,\"attempts\":[%s]",
 	      event_text(r->class_name), a->member, status, age_ms(r),
-	      r->plan.tries, a->hedge ? "true" : "false", past_text(r));
+	      r->plan.tries, a->hedge ? "true" : "false",
+	      past_attempts_text(r));
 }
 
-static void learn_size(struct entry_request *r)
+static void update_answer_size(struct entry_request *r)
 {
-	cost_update_bytes(entry_cost(r), r->received_bytes);
+	cost_update_bytes(entry_class_cost(r), r->received_bytes);
 }
 
 /* The answer of an attempt is at its end; one not whole cuts the caller off. */
@@ -207,19 +212,19 @@
 {
 	if (ok) {
 		COUNT(requests_answered);
-		learn_size(r);
+		update_answer_size(r);
 	} else {
 		COUNT(answers_cut);
 		COUNT(requests_unknown);
 	}
 	r->done = true;
 	httpd_end(r->http, ok);
-	entry_forget_attempt(r->entry, a);
+	entry_remove_attempt(r->entry, a);
 }
 
 /* An answer's head, with its first bytes or all of them. */
-void entry_take_head(struct entry_request *r, struct attempt *a,
-		     const struct request_msg *m)
+void entry_on_answer_head(struct entry_request *r, struct attempt *a,
+			  const struct request_msg *m)
 {
 	struct entry *e = r->entry;
 	GPtrArray *headers;
@@ -227,24 +232,24 @@
 
 	XXH64_reset(&r->digest, 0);
 	r->received_bytes = 0;
-	take_bytes(r, m);
-	if ((m->flags & REQ_FLAG_END) && !whole(r, m)) {
+	add_answer_bytes(r, m);
+	if ((m->flags & REQ_FLAG_END) && !answer_is_complete(r, m)) {
 		COUNT(answers_cut);
 		entry_end_attempt(r, a, ATTEMPT_EVENT_MIXED, RESULT_MIXED);
 		return;
 	}
 	plan_attempt_event(&r->plan, a->number, ATTEMPT_EVENT_ANSWERED);
 	entry_cancel_others(r, a);
-	note_answered(r, a, m->status);
+	emit_answered(r, a, m->status);
 	if (a->hedge)
 		COUNT(hedges_won);
 	headers = answer_headers(m, &length);
 	if ((m->flags & REQ_FLAG_END) && strcmp(r->http->method, "HEAD")) {
 		COUNT(requests_answered);
-		learn_size(r);
+		update_answer_size(r);
 		r->done = true;
 		httpd_reply(r->http, m->status, headers, m->data, m->len);
-		entry_forget_attempt(e, a);
+		entry_remove_attempt(e, a);
 	} else {
 		r->winner = a;
 		r->streaming = true;
@@ -257,13 +262,13 @@
 }
 
 /* More bytes of an answer under way. */
-void entry_take_data(struct entry_request *r, struct attempt *a,
-		     const struct request_msg *m)
+void entry_on_answer_data(struct entry_request *r, struct attempt *a,
+			  const struct request_msg *m)
 {
 	if (!r->streaming || r->winner != a)
 		return;
-	take_bytes(r, m);
+	add_answer_bytes(r, m);
 	httpd_push(r->http, m->data, m->len);
 	if (m->flags & REQ_FLAG_END)
-		entry_end_answer(r, a, whole(r, m));
+		entry_end_answer(r, a, answer_is_complete(r, m));
 }
--- a/node/entry-attempt.c
+++ b/node/entry-attempt.c
@@ -11,7 +11,7 @@
 
 /* Attempts at gates: messages that go out, and what is kept about them. */
 
-void entry_forget_attempt(struct entry *e, struct attempt *a)
+void entry_remove_attempt(struct entry *e, struct attempt *a)
 {
 	struct entry_request *r = a->request;
 	uint32_t i;
@@ -24,8 +24,8 @@
 	g_hash_table_remove(e->attempts, &a->id);
 }
 
-static int deliver(struct entry *e, const struct attempt *a,
-		   const struct request_msg *m)
+static int send_to_gate(struct entry *e, const struct attempt *a,
+			const struct request_msg *m)
 {
 	GByteArray *out;
 	int err;
@@ -46,8 +46,8 @@
 	return err;
 }
 
-static void send_small(struct entry *e, const struct attempt *a,
-		       enum request_msg_type type, int64_t number)
+static void send_control(struct entry *e, const struct attempt *a,
+			 enum request_msg_type type, int64_t number)
 {
 	struct request_msg m = {
 		.type = type,
@@ -57,21 +57,21 @@
 		.sent_ms = clock_now_ms(),
 	};
 
-	deliver(e, a, &m);
+	send_to_gate(e, a, &m);
 }
 
 void entry_send_credit(struct entry *e, const struct attempt *a, int64_t bytes)
 {
-	send_small(e, a, REQ_CREDIT, bytes);
+	send_control(e, a, REQ_CREDIT, bytes);
 }
 
-void entry_send_confirmed(struct entry *e, const struct attempt *a,
-			  int64_t sent_ms)
+void entry_confirm_attempt(struct entry *e, const struct attempt *a,
+			   int64_t sent_ms)
 {
-	send_small(e, a, REQ_CONFIRMED, sent_ms);
+	send_control(e, a, REQ_CONFIRMED, sent_ms);
 }
 
-void entry_send_heard(struct entry *e, const char *address)
+void entry_send_stopping_ack(struct entry *e, const char *address)
 {
 	struct request_msg m = { .type = REQ_HEARD, .origin = e->origin };
 	GByteArray *out = g_byte_array_sized_new(128);
@@ -82,7 +82,7 @@
 	g_byte_array_unref(out);
 }
 
-void entry_note_left(struct attempt *a)
+void entry_update_sent(struct attempt *a)
 {
 	struct entry_request *r = a->request;
 
@@ -91,25 +91,25 @@
 		plan_attempt_event(&r->plan, a->number, ATTEMPT_EVENT_SENT);
 }
 
-bool entry_withdraw_attempt(struct entry *e, struct attempt *a)
+bool entry_cancel_unsent_attempt(struct entry *e, struct attempt *a)
 {
-	entry_note_left(a);
+	entry_update_sent(a);
 	if (!peers_take_back(&e->node->peers, a->address, a->id))
 		return false;
 	chooser_unanswered(&e->chooser, a->member, true, clock_now_ms());
 	chooser_not_serving(&e->chooser, a->member, clock_now_ms());
-	entry_note_attempt(a->request, a, RESULT_UNREACHABLE);
-	entry_forget_attempt(e, a);
+	entry_record_attempt(a->request, a, RESULT_UNREACHABLE);
+	entry_remove_attempt(e, a);
 	return true;
 }
 
-void entry_cancel_attempt(struct entry *e, struct attempt *a, bool silent)
+void entry_cancel_attempt(struct entry *e, struct attempt *a, bool suspect)
 {
-	if (entry_withdraw_attempt(e, a))
+	if (entry_cancel_unsent_attempt(e, a))
 		return;
-	chooser_unanswered(&e->chooser, a->member, silent, clock_now_ms());
-	send_small(e, a, REQ_CANCEL, 0);
-	entry_forget_attempt(e, a);
+	chooser_unanswered(&e->chooser, a->member, suspect, clock_now_ms());
+	send_control(e, a, REQ_CANCEL, 0);
+	entry_remove_attempt(e, a);
 }
 
 void entry_cancel_others(struct entry_request *r, struct attempt *keep)
@@ -125,8 +125,8 @@
 	}
 }
 
-static void fill(struct entry_request *r, int64_t member, int64_t now,
-		 struct request_msg *m)
+static void fill_request_msg(struct entry_request *r, int64_t member,
+			     int64_t now, struct request_msg *m)
 {
 	m->type = REQ_ASK;
 	m->origin = r->entry->origin;
@@ -140,33 +140,33 @@
 	m->deadline_ms = r->plan.deadline_ms - now;
 	m->flags = (r->plan.keyed ? REQ_FLAG_KEYED : 0) |
 		   (r->plan.repeatable ? REQ_FLAG_REPEATABLE : 0) |
-		   (r->first_sending ? REQ_FLAG_FIRST_SENDING : 0) |
+		   (r->is_first_send ? REQ_FLAG_FIRST_SENDING : 0) |
 		   (r->traced ? REQ_FLAG_TRACED : 0);
 	m->method = r->http->method;
 	m->url = r->http->url;
 	m->key = r->key;
-	m->idempotency_key = r->id_header ? r->id_header : "";
+	m->idempotency_key = r->idempotency_key ? r->idempotency_key : "";
 	m->headers = r->headers;
 	m->data = r->http->body->data;
 	m->len = r->http->body->len;
 }
 
-static void measure_waiting(const struct entry_request *r,
-			    const struct attempt *a)
+static void measure_delay(const struct entry_request *r,
+			  const struct attempt *a)
 {
 	if (r->plan.tries == 1)
-		MEASURE(entry_ms, (a->sent_us - r->http->read_us) / 1000.0);
-	else if (r->refused_us)
-		MEASURE(again_ms, (a->sent_us - r->refused_us) / 1000.0);
+		MEASURE(entry_ms, (a->sent_at_us - r->http->read_us) / 1000.0);
+	else if (r->refused_at_us)
+		MEASURE(again_ms, (a->sent_at_us - r->refused_at_us) / 1000.0);
 }
 
-static void note_sent(struct entry_request *r, const struct attempt *a,
-		      int64_t now)
+static void record_sent(struct entry_request *r, const struct attempt *a,
+			int64_t now)
 {
 	const struct gate_view *v =
 		chooser_gate_view(&r->entry->chooser, a->member);
 
-	measure_waiting(r, a);
+	measure_delay(r, a);
 	if (!r->traced)
 		return;
 	EVENT(request_sent, r->attempt_id,
@@ -175,12 +175,13 @@
 	      ",\"gate_load\":%.0f,\"gate_limit\":%.0f,\"slowness\":%.0f"
 	      ",\"heard_ms\":%" PRId64 ",\"age_ms\":%" PRId64
 	      ",\"left_ms\":%" PRId64 ",\"hedge\":%s",
-	      event_text(r->class_name), event_text(r->service), r->version,
-	      a->member, r->plan.keyed ? (int64_t)r->shard : -1, v->load,
-	      v->limit, v->latency_ms,
+	      event_text(r->class_name), event_text(r->service),
+	      r->configuration_version, a->member,
+	      r->plan.keyed ? (int64_t)r->shard : -1, v->load, v->limit,
+	      v->latency_ms,
 	      v->last_answer_at_ms ? now - v->last_answer_at_ms : -1,
-	      (a->sent_us - r->http->read_us) / 1000, r->plan.deadline_ms - now,
-	      a->hedge ? "true" : "false");
+	      (a->sent_at_us - r->http->read_us) / 1000,
+	      r->plan.deadline_ms - now, a->hedge ? "true" : "false");
 }
 
 int entry_send_attempt(struct entry_request *r, int64_t member, bool hedge)
@@ -205,27 +206,27 @@
 	a->request = r;
 	a->member = member;
 	a->hedge = hedge;
-	a->sent_us = clock_now_us();
+	a->sent_at_us = clock_now_us();
 	g_strlcpy(a->address, to->peer, sizeof(a->address));
 	r->attempts[r->attempts[0] ? 1 : 0] = a;
 	r->last_member = member;
 	g_hash_table_insert(e->attempts, &a->id, a);
 	chooser_sent(&e->chooser, member, now);
-	fill(r, member, now, &m);
+	fill_request_msg(r, member, now, &m);
 	m.id = a->id;
 	id = a->id;
-	note_sent(r, a, now);
+	record_sent(r, a, now);
 	/* Our own gate may answer, and end the request, before this returns. */
 	err = chooser_gate_view(&e->chooser, member)->stop_announced
 		      ? RESULT_UNREACHABLE
-		      : deliver(e, a, &m);
+		      : send_to_gate(e, a, &m);
 	if (!err)
 		return RESULT_OK;
 	a = g_hash_table_lookup(e->attempts, &id);
 	chooser_unanswered(&e->chooser, member, true, now);
 	chooser_not_serving(&e->chooser, member, now);
 	plan_attempt_event(&r->plan, a->number, ATTEMPT_EVENT_UNSENT);
-	entry_note_attempt(r, a, err);
-	entry_forget_attempt(e, a);
+	entry_record_attempt(r, a, err);
+	entry_remove_attempt(e, a);
 	return RESULT_UNREACHABLE;
 }
--- a/node/entry-classify.c
+++ b/node/entry-classify.c
@@ -61,8 +61,8 @@
 }
 
 /* How long the caller waits, as it says itself; at most what the class has. */
-static int64_t wait_ms(const struct entry_request *r,
-		       const struct class_settings *k)
+static int64_t caller_timeout_ms(const struct entry_request *r,
+				 const struct class_settings *k)
 {
 	const struct settings *s = &r->entry->node->settings;
 	const char *text = s->headers->wait_ms
@@ -76,7 +76,7 @@
 	return MIN((int64_t)ms, k->deadline_ms);
 }
 
-static void take_class(struct entry_request *r, const struct class_settings *k)
+static void apply_class(struct entry_request *r, const struct class_settings *k)
 {
 	const struct settings *s = &r->entry->node->settings;
 	struct plan *p = &r->plan;
@@ -88,7 +88,7 @@
 	r->resend_window_ms = k->resend_window_ms;
 	p->repeatable = k->repeatable;
 	p->max_servers = k->attempts;
-	p->deadline_ms = p->received_at_ms + wait_ms(r, k);
+	p->deadline_ms = p->received_at_ms + caller_timeout_ms(r, k);
 	p->hold_until_ms = p->deadline_ms;
 	if (s->hold_share > 0)
 		p->hold_until_ms =
@@ -103,7 +103,8 @@
 {
 	struct fleet_service *s =
 		fleet_service(&r->entry->node->member.fleet, ss->name);
-	bool by_id = !r->plan.repeatable && r->id_header && !r->first_sending;
+	bool by_id = !r->plan.repeatable && r->idempotency_key &&
+		     !r->is_first_send;
 
 	r->key = find_key(r->http, ss);
 	if (ss->key_place != KEY_NONE &&
@@ -111,15 +112,15 @@
 		return false;
 	r->plan.keyed = r->key || by_id;
 	if (r->plan.keyed &&
-	    shard_of_key(s, r->key ? r->key : r->id_header, &r->shard))
+	    shard_of_key(s, r->key ? r->key : r->idempotency_key, &r->shard))
 		return false;
 	if (!r->key)
 		r->key = g_strdup("");
 	return true;
 }
 
-static const struct class_settings *match(const struct entry *e,
-					  const struct httpd_request *http)
+static const struct class_settings *
+match_class(const struct entry *e, const struct httpd_request *http)
 {
 	const struct fleet *f = &e->node->member.fleet;
 	g_autofree char *path = g_strndup(http->url, strcspn(http->url, "?"));
@@ -131,7 +132,7 @@
 bool entry_is_repeatable(const struct entry *e,
 			 const struct httpd_request *http)
 {
-	const struct class_settings *k = match(e, http);
+	const struct class_settings *k = match_class(e, http);
 
 	return k && k->repeatable;
 }
@@ -153,8 +154,8 @@
 		entry_reply_not_run(r, "no configuration is in force yet\n");
 		return false;
 	}
-	r->version = f->configuration_version;
-	k = match(e, r->http);
+	r->configuration_version = f->configuration_version;
+	k = match_class(e, r->http);
 	if (!k && member_is_behind(&e->node->member)) {
 		entry_reply_not_run(r, "a newer configuration is on its way\n");
 		return false;
@@ -164,14 +165,14 @@
 		return false;
 	}
 	if (names->idempotency)
-		r->id_header = httpd_header(r->http, names->idempotency);
+		r->idempotency_key = httpd_header(r->http, names->idempotency);
 	if (names->attempt_id)
 		r->attempt_id = httpd_header(r->http, names->attempt_id);
-	r->first_sending = r->attempt_id;
-	take_class(r, k);
+	r->is_first_send = r->attempt_id;
+	apply_class(r, k);
 	ss = pick_target(&f->configuration, k, e->rand);
 	g_strlcpy(r->service, ss->name, sizeof(r->service));
-	if (r->id_header && strlen(r->id_header) > MAX_KEY_LEN) {
+	if (r->idempotency_key && strlen(r->idempotency_key) > MAX_KEY_LEN) {
 		entry_reject(r, 400, "the idempotency key is too long\n");
 		return false;
 	}
--- a/node/entry-pick.c
+++ b/node/entry-pick.c
@@ -8,22 +8,22 @@
 
 #define MAX_CANDIDATES 8
 #define MAX_MEMBERS 2048
-#define MAX_MOVED_ON 65536
+#define MAX_PREV_OWNER_REFUSALS 65536
 
 /* What a gate in another data centre costs a request, on the nominal scale. */
-static double far_ms(struct entry_request *r)
+static double remote_gate_ms(struct entry_request *r)
 {
 	const struct settings *s = &r->entry->node->settings;
 
-	return cost_far_ms(entry_cost(r), s->far_ms, s->far_ms_per_kb);
+	return cost_far_ms(entry_class_cost(r), s->far_ms, s->far_ms_per_kb);
 }
 
 /* Members that may serve a request on no particular shard. */
-static uint32_t gates_of_service(struct entry_request *r,
-				 struct gate_option *out)
+static uint32_t list_service_gates(struct entry_request *r,
+				   struct gate_option *out)
 {
-	const char *home = r->entry->node->settings.data_centre;
-	double far = far_ms(r);
+	const char *local = r->entry->node->settings.data_centre;
+	double remote_ms = remote_gate_ms(r);
 	const struct member_node *n = &r->entry->node->member;
 	struct member *m;
 	uint32_t count = 0;
@@ -34,8 +34,8 @@
 		    fleet_member_in_service(&n->fleet, m) &&
 		    !member_known_stopped(n, m->id) && count < MAX_MEMBERS) {
 			out[count].member = m->id;
-			out[count].extra_ms = strcmp(m->data_centre, home) ? far
-									   : 0;
+			out[count].extra_ms =
+				strcmp(m->data_centre, local) ? remote_ms : 0;
 			count++;
 		}
 	return count;
@@ -68,7 +68,7 @@
  * costs each request a way there and back, until the move is settled by a
  * record, for which the store may have to be waited for.
  */
-static int64_t moved_key(const struct entry_request *r)
+static int64_t shard_table_key(const struct entry_request *r)
 {
 	struct fleet *f = &r->entry->node->member.fleet;
 	const struct fleet_service *s = fleet_service(f, r->service);
@@ -76,9 +76,9 @@
 	return ((int64_t)(s - f->services) << 32) | r->shard;
 }
 
-void entry_note_moved_on(struct entry_request *r)
+void entry_record_not_owner(struct entry_request *r)
 {
-	GHashTable *t = r->entry->moved_on;
+	GHashTable *t = r->entry->prev_owner_refusals;
 	struct fleet_service *s =
 		fleet_service(&r->entry->node->member.fleet, r->service);
 	int64_t key;
@@ -86,18 +86,20 @@
 	if (!r->plan.keyed || !s || r->shard >= s->n_shards ||
 	    s->shards[r->shard].prev_owner != r->last_member)
 		return;
-	key = moved_key(r);
-	if (g_hash_table_size(t) >= MAX_MOVED_ON)
+	key = shard_table_key(r);
+	if (g_hash_table_size(t) >= MAX_PREV_OWNER_REFUSALS)
 		g_hash_table_remove_all(t);
 	g_hash_table_replace(t, g_memdup2(&key, sizeof(key)),
 			     g_memdup2(&s->shards[r->shard].fence,
 				       sizeof(int64_t)));
 }
 
-static bool has_moved_on(const struct entry_request *r, const struct shard *sh)
+static bool prev_owner_refused(const struct entry_request *r,
+			       const struct shard *sh)
 {
-	int64_t key = moved_key(r);
-	const int64_t *fence = g_hash_table_lookup(r->entry->moved_on, &key);
+	int64_t key = shard_table_key(r);
+	const int64_t *fence =
+		g_hash_table_lookup(r->entry->prev_owner_refusals, &key);
 
 	return sh->prev_owner && fence && *fence == sh->fence;
 }
@@ -106,19 +108,20 @@
  * The owner before goes last instead of first. Decided once for a request, or
  * its attempts would not go round all candidates.
  */
-static void put_owner_first(struct entry_request *r, const struct shard *sh,
-			    int64_t *members, uint32_t count)
+static void move_prev_owner_last(struct entry_request *r,
+				 const struct shard *sh, int64_t *members,
+				 uint32_t count)
 {
 	if (!r->plan.tries)
-		r->owner_first = has_moved_on(r, sh);
-	if (!r->owner_first || count < 2 || members[0] != sh->prev_owner)
+		r->prev_owner_last = prev_owner_refused(r, sh);
+	if (!r->prev_owner_last || count < 2 || members[0] != sh->prev_owner)
 		return;
 	memmove(members, members + 1, (count - 1) * sizeof(members[0]));
 	members[count - 1] = sh->prev_owner;
 }
 
-/* The gate to ask next, other than except where there is a choice; 0 none. */
-int64_t entry_pick_gate(struct entry_request *r, int64_t except)
+/* The gate to ask next, other than excluded where there is a choice; 0 none. */
+int64_t entry_pick_gate(struct entry_request *r, int64_t excluded)
 {
 	static struct gate_option options[MAX_MEMBERS];
 	int64_t members[MAX_CANDIDATES];
@@ -131,10 +134,10 @@
 
 		count = member_owner_candidates(n, s, r->shard, members,
 						MAX_CANDIDATES);
-		put_owner_first(r, &s->shards[r->shard], members, count);
+		move_prev_owner_last(r, &s->shards[r->shard], members, count);
 		return pick_candidate(r, members, count);
 	}
-	count = gates_of_service(r, options);
-	return chooser_pick(&e->chooser, options, count, n->self_id, except,
+	count = list_service_gates(r, options);
+	return chooser_pick(&e->chooser, options, count, n->self_id, excluded,
 			    clock_now_ms());
 }
--- a/node/entry-request.h
+++ b/node/entry-request.h
@@ -20,7 +20,7 @@
 	uint32_t number; /* of the request's plan */
 	int64_t member;
 	char address[64];
-	int64_t sent_us;
+	int64_t sent_at_us;
 	bool hedge;
 };
 
@@ -31,33 +31,33 @@
 	int64_t ms;
 };
 
-#define MAX_PAST 4
+#define MAX_PAST_ATTEMPTS 4
 
 struct entry_request {
 	struct entry *entry;
 	bool traced;
-	struct past_attempt past[MAX_PAST];
-	uint32_t n_past;
+	struct past_attempt past_attempts[MAX_PAST_ATTEMPTS];
+	uint32_t n_past_attempts;
 	const char *attempt_id; /* as the caller sent it, or NULL */
 	struct httpd_request *http;
 	struct plan plan;
 	char *class_name; /* "" until it is matched */
 	char service[NAME_MAX_LEN + 1];
-	int64_t version; /* configuration that it was matched by */
+	int64_t configuration_version; /* configuration that it was matched by */
 	bool streaming;
 	bool hedged;
-	bool owner_first; /* of a shard that moved; see entry-pick.c */
+	bool prev_owner_last; /* of a shard that moved; see entry-pick.c */
 	bool done;
-	bool first_sending; /* its id was never sent before */
+	bool is_first_send; /* its id was never sent before */
 	char *key;
-	const char *id_header;
+	const char *idempotency_key;
 	uint32_t shard;
 	uint32_t priority;
 	GPtrArray *headers;
 	int64_t target_ms;
 	int64_t resend_window_ms;
 	int64_t last_member;
-	int64_t refused_us; /* last by a gate, 0 by none */
+	int64_t refused_at_us; /* last by a gate, 0 by none */
 	struct attempt *attempts[MAX_ATTEMPTS];
 	struct attempt *winner;
 	int64_t received_bytes;
@@ -78,15 +78,15 @@
 			 const struct httpd_request *http);
 
 /* node/entry-answer.c */
-void entry_note_attempt(struct entry_request *r, const struct attempt *a,
-			int result);
+void entry_record_attempt(struct entry_request *r, const struct attempt *a,
+			  int result);
 void entry_reply_not_run(struct entry_request *r, const char *text);
 void entry_reply_unknown(struct entry_request *r);
 void entry_reject(struct entry_request *r, uint32_t status, const char *text);
-void entry_take_head(struct entry_request *r, struct attempt *a,
-		     const struct request_msg *m);
-void entry_take_data(struct entry_request *r, struct attempt *a,
-		     const struct request_msg *m);
+void entry_on_answer_head(struct entry_request *r, struct attempt *a,
+			  const struct request_msg *m);
+void entry_on_answer_data(struct entry_request *r, struct attempt *a,
+			  const struct request_msg *m);
 void entry_end_answer(struct entry_request *r, struct attempt *a, bool ok);
 
 /* node/entry-attempt.c */
@@ -98,29 +98,29 @@
 int entry_send_attempt(struct entry_request *r, int64_t member, bool hedge);
 void entry_send_credit(struct entry *e, const struct attempt *a, int64_t bytes);
 /* It is still wanted, to a gate that asked at sent_ms by its own clock. */
-void entry_send_confirmed(struct entry *e, const struct attempt *a,
-			  int64_t sent_ms);
+void entry_confirm_attempt(struct entry *e, const struct attempt *a,
+			   int64_t sent_ms);
 /* Answer the last words of the gate at a peer address. */
-void entry_send_heard(struct entry *e, const char *address);
-void entry_forget_attempt(struct entry *e, struct attempt *a);
+void entry_send_stopping_ack(struct entry *e, const char *address);
+void entry_remove_attempt(struct entry *e, struct attempt *a);
 /* Tell the plan of an attempt that has left since it was sent. */
-void entry_note_left(struct attempt *a);
+void entry_update_sent(struct attempt *a);
 /* Take back an attempt that has not left yet; false when it may have. */
-bool entry_withdraw_attempt(struct entry *e, struct attempt *a);
+bool entry_cancel_unsent_attempt(struct entry *e, struct attempt *a);
 /* Give up an attempt; the gate stops work on it if it can. */
-void entry_cancel_attempt(struct entry *e, struct attempt *a, bool silent);
+void entry_cancel_attempt(struct entry *e, struct attempt *a, bool suspect);
 /* Want no answer from any but one; keep may be NULL. */
 void entry_cancel_others(struct entry_request *r, struct attempt *keep);
 
 /* node/entry-pick.c */
 /* The gate asked last does not serve the request's key. */
-void entry_note_moved_on(struct entry_request *r);
-int64_t entry_pick_gate(struct entry_request *r, int64_t except);
+void entry_record_not_owner(struct entry_request *r);
+int64_t entry_pick_gate(struct entry_request *r, int64_t excluded);
 
 /* node/entry.c */
-struct class_cost *entry_cost(struct entry_request *r);
-struct retry_budget *entry_budget(struct entry *e, const char *service);
-void entry_step(struct entry_request *r, enum plan_step step);
+struct class_cost *entry_class_cost(struct entry_request *r);
+struct retry_budget *entry_retry_budget(struct entry *e, const char *service);
+void entry_take_step(struct entry_request *r, enum plan_step step);
 /* An attempt ended without an answer or a refusal; go on from there. */
 void entry_end_attempt(struct entry_request *r, struct attempt *a,
 		       enum attempt_event why, int result);
--- a/node/entry.c
+++ b/node/entry.c
@@ -12,21 +12,21 @@
 
 #define TICK_S 0.02
 #define MAX_REQUESTS 8192
-#define AVOID_MS 50
-#define SILENT_LINK_MS 3000
+#define REFUSED_AVOID_MS 50
+#define LINK_TIMEOUT_MS 3000
 /* An entry that sends little hears little: a second without a word is silence. */
-#define SILENT_GATE_MS 1000
-#define CREDIT_BYTES (32 * 1024)
+#define GATE_SUSPECT_MS 1000
+#define CREDIT_MIN_BYTES (32 * 1024)
 /* Between questions to the heir of an owner that says nothing. */
-#define ROUND_MS 200
+#define SUCCESSOR_INTERVAL_MS 200
 
-static double usual_ms(struct entry_request *r, const struct gate_view *v)
+static double expected_ms(struct entry_request *r, const struct gate_view *v)
 {
-	return cost_from_nominal_ms(entry_cost(r), v->latency_ms);
+	return cost_from_nominal_ms(entry_class_cost(r), v->latency_ms);
 }
 
 /* What repeats and hedges of requests to a service may add to its load. */
-struct retry_budget *entry_budget(struct entry *e, const char *service)
+struct retry_budget *entry_retry_budget(struct entry *e, const char *service)
 {
 	const struct settings *s = &e->node->settings;
 	struct retry_budget *b = g_hash_table_lookup(e->budgets, service);
@@ -42,7 +42,7 @@
 	return b;
 }
 
-struct class_cost *entry_cost(struct entry_request *r)
+struct class_cost *entry_class_cost(struct entry_request *r)
 {
 	GHashTable *costs = r->entry->costs;
 	struct class_cost *c = g_hash_table_lookup(costs, r->class_name);
@@ -54,19 +54,19 @@
 	return c;
 }
 
-static void plan_step_ended(struct entry_request *r, uint32_t number,
-			    enum attempt_event why)
+static void end_plan_attempt(struct entry_request *r, uint32_t number,
+			     enum attempt_event why)
 {
 	enum plan_step step = plan_attempt_ended(
-		&r->plan, number, why, entry_budget(r->entry, r->service),
+		&r->plan, number, why, entry_retry_budget(r->entry, r->service),
 		g_rand_double(r->entry->rand), clock_now_ms());
 
 	if (step == PLAN_SEND && plan_in_doubt(&r->plan))
 		COUNT(requests_retried);
-	entry_step(r, step);
+	entry_take_step(r, step);
 }
 
-static void send_next(struct entry_request *r)
+static void send_next_attempt(struct entry_request *r)
 {
 	int64_t member = entry_pick_gate(r, r->plan.tries ? r->last_member : 0);
 	double jitter = g_rand_double(r->entry->rand);
@@ -74,20 +74,20 @@
 			 : RESULT_OVERLOAD;
 
 	if (err == RESULT_UNREACHABLE)
-		plan_step_ended(r, r->plan.tries - 1, ATTEMPT_EVENT_UNSENT);
+		end_plan_attempt(r, r->plan.tries - 1, ATTEMPT_EVENT_UNSENT);
 	else if (err)
-		entry_step(r,
-			   plan_no_candidate(&r->plan, jitter, clock_now_ms()));
+		entry_take_step(r, plan_no_candidate(&r->plan, jitter,
+						     clock_now_ms()));
 }
 
 /* Do what the plan says. */
-void entry_step(struct entry_request *r, enum plan_step step)
+void entry_take_step(struct entry_request *r, enum plan_step step)
 {
 	if (r->done)
 		return;
 	switch (step) {
 	case PLAN_SEND:
-		send_next(r);
+		send_next_attempt(r);
 		break;
 	case PLAN_REFUSE:
 		entry_reply_not_run(r, "refused, not run\n");
@@ -106,37 +106,38 @@
 {
 	uint32_t number = a->number;
 
-	entry_note_left(a);
-	entry_note_attempt(r, a, result);
-	entry_forget_attempt(r->entry, a);
-	plan_step_ended(r, number, why);
+	entry_update_sent(a);
+	entry_record_attempt(r, a, result);
+	entry_remove_attempt(r->entry, a);
+	end_plan_attempt(r, number, why);
 }
 
-static void on_refused(struct entry_request *r, uint32_t number,
-		       const struct request_msg *m)
+static void on_gate_refused(struct entry_request *r, uint32_t number,
+			    const struct request_msg *m)
 {
 	struct entry *e = r->entry;
 	int64_t now = clock_now_ms();
 
-	r->refused_us = clock_now_us();
+	r->refused_at_us = clock_now_us();
 	if (m->number == RESULT_NOT_OWNER && r->plan.keyed)
-		entry_note_moved_on(r);
+		entry_record_not_owner(r);
 	else if (m->number == RESULT_NOT_OWNER)
 		chooser_not_serving(&e->chooser, r->last_member, now);
 	else
-		chooser_refused(&e->chooser, r->last_member, AVOID_MS, now);
-	entry_step(r,
-		   plan_refused(&r->plan, number, m->number == RESULT_NOT_OWNER,
-				m->flags & REQ_FLAG_REACHED, m->wait_ms,
-				entry_budget(e, r->service),
-				g_rand_double(e->rand), now));
+		chooser_refused(&e->chooser, r->last_member, REFUSED_AVOID_MS,
+				now);
+	entry_take_step(r, plan_refused(&r->plan, number,
+					m->number == RESULT_NOT_OWNER,
+					m->flags & REQ_FLAG_REACHED, m->wait_ms,
+					entry_retry_budget(e, r->service),
+					g_rand_double(e->rand), now));
 }
 
-static void note_answer(struct entry *e, struct attempt *a,
-			const struct request_msg *m)
+static void update_gate_view(struct entry *e, struct attempt *a,
+			     const struct request_msg *m)
 {
-	struct class_cost *c = entry_cost(a->request);
-	double ms = (clock_now_us() - a->sent_us) / 1000.0;
+	struct class_cost *c = entry_class_cost(a->request);
+	double ms = (clock_now_us() - a->sent_at_us) / 1000.0;
 
 	if (m->type == REQ_DATA)
 		return;
@@ -150,7 +151,7 @@
 }
 
 /* What a gate says of a request that it does not answer and that may have run. */
-static enum attempt_event failure(const struct request_msg *m)
+static enum attempt_event failure_event(const struct request_msg *m)
 {
 	if (!(m->flags & REQ_FLAG_BEGUN))
 		return ATTEMPT_EVENT_IN_DOUBT;
@@ -161,12 +162,12 @@
 }
 
 /* All that the gate had to say came before this on its link. */
-static void on_gate_ending(struct entry *e, const struct request_msg *m)
+static void on_gate_stopping(struct entry *e, const struct request_msg *m)
 {
 	/* One that has left by the log already is no member any more. */
 	if (m->to)
 		chooser_gate_view(&e->chooser, m->to)->stop_announced = true;
-	entry_send_heard(e, m->key);
+	entry_send_stopping_ack(e, m->key);
 }
 
 void entry_on_message(struct entry *e, const struct request_msg *m)
@@ -182,7 +183,7 @@
 		return;
 	}
 	if (m->type == REQ_ENDING) {
-		on_gate_ending(e, m);
+		on_gate_stopping(e, m);
 		return;
 	}
 	/*
@@ -195,36 +196,37 @@
 	}
 	r = a->request;
 	number = a->number;
-	entry_note_left(a);
-	note_answer(e, a, m);
+	entry_update_sent(a);
+	update_gate_view(e, a, m);
 	switch (m->type) {
 	case REQ_CONFIRM:
-		entry_send_confirmed(e, a, m->sent_ms);
+		entry_confirm_attempt(e, a, m->sent_ms);
 		break;
 	case REQ_HEAD:
-		entry_take_head(r, a, m);
+		entry_on_answer_head(r, a, m);
 		break;
 	case REQ_DATA:
-		entry_take_data(r, a, m);
+		entry_on_answer_data(r, a, m);
 		break;
 	case REQ_REFUSED:
-		entry_note_attempt(r, a, m->number);
-		entry_forget_attempt(e, a);
-		on_refused(r, number, m);
+		entry_record_attempt(r, a, m->number);
+		entry_remove_attempt(e, a);
+		on_gate_refused(r, number, m);
 		break;
 	case REQ_FAILED:
 		if (r->streaming && r->winner == a) {
 			entry_end_answer(r, a, false);
 			break;
 		}
-		entry_end_attempt(r, a, failure(m), m->number);
+		entry_end_attempt(r, a, failure_event(m), m->number);
 		break;
 	default:
 		break;
 	}
 }
 
-static void hedge(struct entry_request *r, struct attempt *a, double age_ms)
+static void hedge_if_due(struct entry_request *r, struct attempt *a,
+			 double age_ms)
 {
 	struct entry *e = r->entry;
 	struct gate_view *v = chooser_gate_view(&e->chooser, a->member);
@@ -233,11 +235,11 @@
 	if (!r->plan.repeatable || r->plan.keyed || r->hedged ||
 	    !e->node->settings.hedge || !plan_may_reach_server(&r->plan))
 		return;
-	if (!cost_hedge_due(age_ms, usual_ms(r, v), r->target_ms))
+	if (!cost_hedge_due(age_ms, expected_ms(r, v), r->target_ms))
 		return;
 	member = entry_pick_gate(r, a->member);
 	if (!member || member == a->member ||
-	    !retry_budget_withdraw(entry_budget(e, r->service)))
+	    !retry_budget_withdraw(entry_retry_budget(e, r->service)))
 		return;
 	r->hedged = true;
 	COUNT(requests_hedged);
@@ -245,12 +247,13 @@
 }
 
 /* How long to wait for one gate before another is worth asking. */
-static double try_ms(struct entry_request *r, const struct attempt *a)
+static double owner_hedge_delay_ms(struct entry_request *r,
+				   const struct attempt *a)
 {
 	struct gate_view *v = chooser_gate_view(&r->entry->chooser, a->member);
 	double left = r->plan.deadline_ms - r->plan.received_at_ms;
 
-	return cost_owner_hedge_delay_ms(usual_ms(r, v), r->target_ms, left);
+	return cost_owner_hedge_delay_ms(expected_ms(r, v), r->target_ms, left);
 }
 
 /*
@@ -258,78 +261,80 @@
  * goes on, and whoever would inherit the key is asked beside it, round by
  * round. Cancelling instead would make of every short stall a long one.
  */
-static void ask_heir(struct entry_request *r, const struct attempt *a,
-		     double age_ms, int64_t now)
+static void ask_successor_if_due(struct entry_request *r,
+				 const struct attempt *a, double age_ms,
+				 int64_t now)
 {
 	struct gate_view *v = chooser_gate_view(&r->entry->chooser, a->member);
 	int64_t member;
 
-	if (!r->plan.repeatable || age_ms < try_ms(r, a) ||
+	if (!r->plan.repeatable || age_ms < owner_hedge_delay_ms(r, a) ||
 	    now < r->plan.resume_at_ms ||
-	    now - v->last_answer_at_ms < SILENT_GATE_MS ||
+	    now - v->last_answer_at_ms < GATE_SUSPECT_MS ||
 	    plan_n_open(&r->plan) > 1 || r->plan.tries >= PLAN_MAX_TRIES ||
 	    !plan_may_reach_server(&r->plan))
 		return;
-	v->suspect_until_ms = now + SILENT_GATE_MS;
+	v->suspect_until_ms = now + GATE_SUSPECT_MS;
 	member = entry_pick_gate(r, a->member);
-	r->plan.resume_at_ms = now + ROUND_MS;
+	r->plan.resume_at_ms = now + SUCCESSOR_INTERVAL_MS;
 	if (member && member != a->member)
 		entry_send_attempt(r, member, false);
 }
 
 /* Take back an attempt that has not left, for the next gate. */
-static bool withdraw(struct entry_request *r, struct attempt *a)
+static bool cancel_unsent(struct entry_request *r, struct attempt *a)
 {
 	uint32_t number = a->number;
 
-	if (!entry_withdraw_attempt(r->entry, a))
+	if (!entry_cancel_unsent_attempt(r->entry, a))
 		return false;
-	plan_step_ended(r, number, ATTEMPT_EVENT_UNSENT);
+	end_plan_attempt(r, number, ATTEMPT_EVENT_UNSENT);
 	return true;
 }
 
-static void give_up_attempt(struct entry_request *r, struct attempt *a,
-			    enum attempt_event why, int result, bool silent)
+static void cancel_attempt(struct entry_request *r, struct attempt *a,
+			   enum attempt_event why, int result, bool suspect)
 {
 	uint32_t number = a->number;
 
-	if (withdraw(r, a))
+	if (cancel_unsent(r, a))
 		return;
-	entry_note_attempt(r, a, result);
-	entry_cancel_attempt(r->entry, a, silent);
-	plan_step_ended(r, number, why);
+	entry_record_attempt(r, a, result);
+	entry_cancel_attempt(r->entry, a, suspect);
+	end_plan_attempt(r, number, why);
 }
 
 static void check_attempt(struct entry_request *r, struct attempt *a,
 			  int64_t now)
 {
 	struct entry *e = r->entry;
-	double age_ms = (clock_now_us() - a->sent_us) / 1000.0;
-	int64_t heard = peers_heard_ms(&e->node->peers, a->address);
+	double age_ms = (clock_now_us() - a->sent_at_us) / 1000.0;
+	int64_t last_received_at_ms =
+		peers_heard_ms(&e->node->peers, a->address);
 	const struct gate_view *v = chooser_gate_view(&e->chooser, a->member);
 
 	if (r->winner == a)
 		return;
-	entry_note_left(a);
+	entry_update_sent(a);
 	if (r->plan.attempts[a->number].state == ATTEMPT_NOT_SENT &&
 	    (age_ms > PEER_CONNECT_MS || now >= r->plan.deadline_ms)) {
-		withdraw(r, a);
+		cancel_unsent(r, a);
 		return;
 	}
 	if (now >= r->plan.deadline_ms) {
 		if (a->member != e->node->member.self_id &&
-		    now - heard > SILENT_LINK_MS)
+		    now - last_received_at_ms > LINK_TIMEOUT_MS)
 			peers_replace(&e->node->peers, a->address);
 		/* A gate that answers others is slow, not silent. */
-		give_up_attempt(r, a, ATTEMPT_EVENT_TIMEOUT, RESULT_TIMEOUT,
-				now - v->last_answer_at_ms > SILENT_GATE_MS);
+		cancel_attempt(r, a, ATTEMPT_EVENT_TIMEOUT, RESULT_TIMEOUT,
+			       now - v->last_answer_at_ms > GATE_SUSPECT_MS);
 		return;
 	}
 	if (r->plan.keyed) {
-		ask_heir(r, a, age_ms, now);
+		ask_successor_if_due(r, a, age_ms, now);
 		return;
 	}
-	hedge(r, a, age_ms);
+	hedge_if_due(r, a, age_ms);
 }
 
 static void check_request(struct entry_request *r, int64_t now)
@@ -340,7 +345,7 @@
 		return;
 	if (!plan_n_open(&r->plan)) {
 		if (r->plan.resume_at_ms && now >= r->plan.resume_at_ms)
-			entry_step(r, plan_resume(&r->plan, now));
+			entry_take_step(r, plan_resume(&r->plan, now));
 		return;
 	}
 	for (i = 0; i < MAX_ATTEMPTS && !r->done; i++)
@@ -362,33 +367,34 @@
 }
 
 /* Whether an attempt waits for a member's gate, and is not being answered. */
-static bool waits_for(const struct entry_request *r, uint32_t i, int64_t member)
+static bool awaits_answer_from(const struct entry_request *r, uint32_t i,
+			       int64_t member)
 {
 	const struct attempt *a = r->attempts[i];
 
 	return !r->done && a && a->member == member && r->winner != a;
 }
 
-void entry_on_member_stopped(struct entry *e, int64_t member)
+void entry_on_member_lease_over(struct entry *e, int64_t member)
 {
 	struct gate_view *v = chooser_gate_view(&e->chooser, member);
 	uint32_t i, j;
 
 	v->suspect_until_ms =
-		MAX(v->suspect_until_ms, clock_now_ms() + SILENT_GATE_MS);
+		MAX(v->suspect_until_ms, clock_now_ms() + GATE_SUSPECT_MS);
 	for (i = e->requests->len; i-- > 0;) {
 		struct entry_request *r = g_ptr_array_index(e->requests, i);
 
 		for (j = 0; j < MAX_ATTEMPTS; j++)
-			if (waits_for(r, j, member) &&
-			    !withdraw(r, r->attempts[j]))
+			if (awaits_answer_from(r, j, member) &&
+			    !cancel_unsent(r, r->attempts[j]))
 				plan_attempt_event(&r->plan,
 						   r->attempts[j]->number,
 						   ATTEMPT_EVENT_LEASE_OVER);
 	}
 }
 
-void entry_on_member_lost(struct entry *e, int64_t member)
+void entry_on_member_superseded(struct entry *e, int64_t member)
 {
 	uint32_t i, j;
 
@@ -398,9 +404,9 @@
 		for (j = 0; j < MAX_ATTEMPTS && !r->done; j++) {
 			struct attempt *a = r->attempts[j];
 
-			if (waits_for(r, j, member))
-				give_up_attempt(r, a, ATTEMPT_EVENT_SUPERSEDED,
-						RESULT_UNREACHABLE, true);
+			if (awaits_answer_from(r, j, member))
+				cancel_attempt(r, a, ATTEMPT_EVENT_SUPERSEDED,
+					       RESULT_UNREACHABLE, true);
 			else if (a && a->member == member)
 				entry_end_answer(r, a, false);
 		}
@@ -464,10 +470,10 @@
 		return;
 	copy_headers(r);
 	r->traced = event_trace_next();
-	retry_budget_deposit(entry_budget(e, r->service));
+	retry_budget_deposit(entry_retry_budget(e, r->service));
 	if (!ev_is_active(&e->tick))
 		ev_timer_again(e->node->loop, &e->tick);
-	send_next(r);
+	send_next_attempt(r);
 }
 
 /* The caller left: nobody waits for what is still being done for it. */
@@ -510,15 +516,15 @@
 {
 	struct entry *e = user;
 	struct entry_request *r = http->user;
-	int64_t taken;
+	int64_t consumed;
 
 	if (!r || !r->winner)
 		return;
-	taken = r->received_bytes - (int64_t)httpd_pending(http);
-	if (taken - r->credited_bytes < CREDIT_BYTES)
+	consumed = r->received_bytes - (int64_t)httpd_pending(http);
+	if (consumed - r->credited_bytes < CREDIT_MIN_BYTES)
 		return;
-	entry_send_credit(e, r->winner, taken - r->credited_bytes);
-	r->credited_bytes = taken;
+	entry_send_credit(e, r->winner, consumed - r->credited_bytes);
+	r->credited_bytes = consumed;
 }
 
 static const struct httpd_ops entry_ops = {
@@ -534,7 +540,7 @@
 {
 	memset(e, 0, sizeof(*e));
 	e->node = node;
-	e->version = -1;
+	e->configuration_version = -1;
 	e->rand = g_rand_new();
 	e->origin = (uint64_t)g_random_int() << 32 | g_random_int();
 	e->attempts = g_hash_table_new_full(g_int64_hash, g_int64_equal, NULL,
@@ -544,8 +550,8 @@
 	e->costs =
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
 	e->requests = g_ptr_array_new();
-	e->moved_on = g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free,
-					    g_free);
+	e->prev_owner_refusals = g_hash_table_new_full(
+		g_int64_hash, g_int64_equal, g_free, g_free);
 	chooser_init(&e->chooser, node->settings.choice, g_random_int());
 	ev_init(&e->tick, on_tick);
 	e->tick.repeat = TICK_S;
@@ -554,14 +560,14 @@
 			  node->settings.max_body_bytes, &entry_ops, e);
 }
 
-void entry_follow_configuration(struct entry *e)
+void entry_apply_configuration(struct entry *e)
 {
 	const struct fleet *f = &e->node->member.fleet;
 	const struct caller_limits *l = &f->configuration.limits;
 
-	if (e->version == f->configuration_version)
+	if (e->configuration_version == f->configuration_version)
 		return;
-	e->version = f->configuration_version;
+	e->configuration_version = f->configuration_version;
 	e->httpd.max_body_bytes =
 		MAX(e->node->settings.max_body_bytes, l->max_body_bytes);
 	if (httpd_accept_heads(&e->httpd, l->max_header_bytes))
@@ -579,7 +585,7 @@
 	g_hash_table_unref(e->attempts);
 	g_hash_table_unref(e->budgets);
 	g_hash_table_unref(e->costs);
-	g_hash_table_unref(e->moved_on);
+	g_hash_table_unref(e->prev_owner_refusals);
 	g_ptr_array_unref(e->requests);
 	g_rand_free(e->rand);
 }
@@ -595,7 +601,7 @@
 }
 
 /* Nothing more can be heard of what is open. */
-static void end_attempts(struct entry_request *r)
+static void cancel_attempts(struct entry_request *r)
 {
 	uint32_t i;
 
@@ -610,7 +616,7 @@
 	}
 }
 
-void entry_answer_all(struct entry *e)
+void entry_answer_open_requests(struct entry *e)
 {
 	uint32_t i;
 
@@ -619,7 +625,7 @@
 
 		if (r->done || r->streaming)
 			continue;
-		end_attempts(r);
+		cancel_attempts(r);
 		if (plan_outcome(&r->plan) != PLAN_NOT_RUN)
 			entry_reply_unknown(r);
 		else
@@ -627,7 +633,7 @@
 	}
 }
 
-bool entry_idle(const struct entry *e)
+bool entry_is_idle(const struct entry *e)
 {
 	return !e->requests->len &&
 	       (!e->httpd.closed || httpd_quiet(&e->httpd));
--- a/node/node.c
+++ b/node/node.c
@@ -194,7 +194,7 @@
 	g_info("member %" G_GINT64_FORMAT ": %s %" G_GINT64_FORMAT,
 	       (gint64)n->member.self_id, what, (gint64)subject);
 	if (!strcmp(what, NOTE_STOPPED))
-		entry_on_member_stopped(&n->entry, subject);
+		entry_on_member_lease_over(&n->entry, subject);
 }
 
 static const struct member_ops member_ops = {
@@ -226,7 +226,7 @@
 
 	if (old->id && !strcmp(old->host, m->host) &&
 	    old->process != m->process)
-		entry_on_member_lost(&n->entry, old->id);
+		entry_on_member_superseded(&n->entry, old->id);
 	old->id = 0;
 }
 
@@ -253,7 +253,7 @@
 	audit_event(&n->audit, ev);
 	if (ev->type == FLEET_CONFIGURATION_CHANGED) {
 		tell_configured(n, ev);
-		entry_follow_configuration(&n->entry);
+		entry_apply_configuration(&n->entry);
 	}
 	if (ev->type == FLEET_CONFIGURATION_REFUSED) {
 		COUNT(configurations_refused);
@@ -385,7 +385,7 @@
 static void answer_in_time(struct node *n, int64_t asked_ms)
 {
 	if (time_is_up(n, asked_ms))
-		entry_answer_all(&n->entry);
+		entry_answer_open_requests(&n->entry);
 }
 
 /* Say what there is left to say; the loop ends once that has been read. */
@@ -417,7 +417,7 @@
 		return;
 	entry_close(&n->entry);
 	answer_in_time(n, asked_ms);
-	idle = gate_idle(&n->gate) && entry_idle(&n->entry);
+	idle = gate_idle(&n->gate) && entry_is_idle(&n->entry);
 	if (!idle && !time_is_up(n, asked_ms))
 		return;
 	EVENT(stopped, NULL, "\"requests\":%u,\"running\":%u,\"ms\":%" PRId64,
@@ -470,7 +470,7 @@
 	if (now - n->stopping_ms < notice_ms(n))
 		return;
 	entry_close(&n->entry);
-	if (!gate_idle(&n->gate) || !entry_idle(&n->entry))
+	if (!gate_idle(&n->gate) || !entry_is_idle(&n->entry))
 		return;
 	g_info("stopped, nothing in progress");
 	begin_ending(n, now);
@@ -486,7 +486,7 @@
 	n->member.log_up = log_client_up(&n->log);
 	member_tick(&n->member, now);
 	gate_tick(&n->gate);
-	entry_follow_configuration(&n->entry);
+	entry_apply_configuration(&n->entry);
 	granter_tick(&n->granter);
 	backend_tick(n);
 	reload_tick(n, now);
--- a/node/read-plan.h
+++ b/node/read-plan.h
@@ -6,8 +6,8 @@
 /* How a node reads the fleet's stream: each read is a call to the store. */
 struct read_plan {
 	int64_t wait_ms; /* how long a read may wait for news */
-	int64_t gather_ms; /* after a read with news, before the next */
-	int64_t pause_ms; /* between reads that found all there is */
+	int64_t batch_delay_ms; /* after a read with news, before the next */
+	int64_t idle_interval_ms; /* between reads that found all there is */
 };
 
 /* longest_ms: how long a read may wait at most, where nothing hurries. */
--- a/node/streams.c
+++ b/node/streams.c
@@ -276,10 +276,10 @@
 	}
 	read_plan_make(m, n->operators.wait_ms, &plan);
 	n->log.wait_ms = plan.wait_ms;
-	n->log.gather_ms = plan.gather_ms;
-	if (n->log.pause_ms > plan.pause_ms && log_client_up(&n->log))
+	n->log.gather_ms = plan.batch_delay_ms;
+	if (n->log.pause_ms > plan.idle_interval_ms && log_client_up(&n->log))
 		log_client_read_now(&n->log);
-	n->log.pause_ms = plan.pause_ms;
+	n->log.pause_ms = plan.idle_interval_ms;
 	n->operators.gather_ms = GATHER_MS;
 	n->log.retry_max_ms = m->is_log_reader ? READER_RETRY_MS : RETRY_MAX_MS;
 	if (n->log.pause_ms)
--- a/t/sim.c
+++ b/t/sim.c
@@ -387,8 +387,8 @@
 	struct read_plan plan;
 
 	read_plan_make(m, 0, &plan);
-	return nd->sim->granted && plan.pause_ms && !m->log_read_due &&
-	       nd->sim->now - nd->read_at < plan.pause_ms &&
+	return nd->sim->granted && plan.idle_interval_ms && !m->log_read_due &&
+	       nd->sim->now - nd->read_at < plan.idle_interval_ms &&
 	       !(m->behind_since_ms &&
 		 m->now_ms - m->behind_since_ms > READ_WHEN_BEHIND_MS);
 }
--- a/t/test-readers.c
+++ b/t/test-readers.c
@@ -152,8 +152,8 @@
 	member_set_membership_wanted(&s.nodes[0].member, true, 0);
 	read_plan_make(&s.nodes[0].member, 10000, &p);
 	g_assert_cmpint(p.wait_ms, >=, 1000);
-	g_assert_cmpint(p.gather_ms, >=, 1000);
-	g_assert_cmpint(p.pause_ms, ==, 0);
+	g_assert_cmpint(p.batch_delay_ms, >=, 1000);
+	g_assert_cmpint(p.idle_interval_ms, ==, 0);
 	g_assert_true(sim_converge(&s, 20000));
 	sim_run(&s, 5000);
 	for (i = 0; i < SIM_NODES; i++) {
@@ -161,7 +161,8 @@
 
 		read_plan_make(m, 10000, &p);
 		g_assert_cmpint(p.wait_ms, ==, m->is_log_reader ? 3000 : 0);
-		g_assert_cmpint(p.pause_ms, ==, m->is_log_reader ? 0 : 60000);
+		g_assert_cmpint(p.idle_interval_ms, ==,
+				m->is_log_reader ? 0 : 60000);
 	}
 	sim_finish(&s);
 }
@@ -179,9 +180,9 @@
 	m->witnesses = log;
 	read_plan_make(&s.nodes[0].member, 10000, &p);
 	g_assert_cmpint(p.wait_ms, <=, 300);
-	g_assert_cmpint(p.gather_ms, <=, 300);
-	g_assert_cmpint(p.gather_ms, >, 100);
-	g_assert_cmpint(p.pause_ms, ==, 0);
+	g_assert_cmpint(p.batch_delay_ms, <=, 300);
+	g_assert_cmpint(p.batch_delay_ms, >, 100);
+	g_assert_cmpint(p.idle_interval_ms, ==, 0);
 	sim_finish(&s);
 }
 
