--- a/node/read-plan.c
+++ b/node/read-plan.c
@@ -1,24 +1,28 @@
 #include "node/read-plan.h"
 
-/* Where the log is the witness a lease rests on reads. */
+/* Where the log is the witness, the lease depends on these reads. */
 #define LEASE_READ_WAIT_MS 300
 #define LEASE_READ_BATCH_DELAY_MS 300
-/* One who is no member asks nobody whether it missed something. */
+/* A node that is no member does not learn from peers that it missed records. */
 #define NON_MEMBER_WAIT_MS 1000
-/* A silent store is noticed that soon by who reads for all. */
+/*
+ * A log reader reads for all members, and must notice within this time that the
+ * store does not answer.
+ */
 #define LOG_READER_MAX_WAIT_MS 3000
-/* News seldom comes alone: what follows it is fetched with one read. */
+/* Records mostly come in groups; the delay lets one read fetch the rest. */
 #define BATCH_DELAY_MS 100
-/* The same for those who do not serve yet. */
+/* The same for a node that is no member and so serves no requests yet. */
 #define NON_MEMBER_BATCH_DELAY_MS 500
 /*
- * A whole fleet that starts appends joins for seconds. Who joins itself needs
- * none of them before its own, which is read when it is appended.
+ * When a whole fleet starts, join records are appended for seconds. A joining
+ * node needs none of them before its own join record, which it reads when that
+ * is appended.
  */
 #define JOINING_BATCH_DELAY_MS 1000
-/* Those whom others pass records on to look for themselves that often. */
+/* Members that get the records from others still read the log this often. */
 #define IDLE_INTERVAL_MS 10000
-/* And where these say now and then that there are none. */
+/* The same while a relay confirms from time to time that it follows the log. */
 #define RELAYED_IDLE_INTERVAL_MS 60000
 
 static int64_t wait_ms(const struct member_node *m, int64_t longest_ms)
--- a/node/read-plan.h
+++ b/node/read-plan.h
@@ -3,14 +3,21 @@
 
 #include "member/member.h"
 
-/* How a node reads the fleet's stream: each read is a call to the store. */
+/*
+ * How often a node reads the log, and how long each read may wait. Every read
+ * is a call to the store.
+ */
 struct read_plan {
-	int64_t wait_ms; /* how long a read may wait for news */
-	int64_t batch_delay_ms; /* after a read with news, before the next */
-	int64_t idle_interval_ms; /* between reads that found all there is */
+	int64_t wait_ms; /* how long a read may wait for records, 0: not */
+	int64_t batch_delay_ms; /* from a read with new records to the next */
+	int64_t idle_interval_ms; /* between reads that found the log's end */
 };
 
-/* longest_ms: how long a read may wait at most, where nothing hurries. */
+/*
+ * Sets the plan from the node's role: non-member, member whose witness is the
+ * log, log reader, or follower of a relay. longest_ms is the wait of reads that
+ * need no shorter one.
+ */
 void read_plan_make(const struct member_node *m, int64_t longest_ms,
 		    struct read_plan *p);
 
