--- a/node/entry.h
+++ b/node/entry.h
@@ -11,8 +11,9 @@
 #include "route/cost.h"
 
 /*
- * The callers' side of a node: finds a request's class and key, asks the gate
- * that should serve it, tries again where that is safe, and answers.
+ * The callers' side of a node: finds the class and key of each request, sends
+ * it to a gate that can serve it, retries where that is safe, and answers the
+ * caller.
  */
 
 struct node;
@@ -22,52 +23,60 @@
 	struct node *node;
 	GHashTable *costs; /* class -> struct class_cost */
 	struct httpd httpd;
-	int64_t configuration_version; /* of the configuration whose limits it
-					  has */
+	int64_t configuration_version; /* whose limits were applied; -1: none */
 	struct chooser chooser;
-	GHashTable *prev_owner_refusals; /* int64_t shard -> int64_t fence, see
-					    entry-pick.c */
+	/* int64_t shard -> int64_t fence, see entry-pick.c */
+	GHashTable *prev_owner_refusals;
 	GHashTable *budgets; /* service -> struct retry_budget */
 	GHashTable *attempts; /* uint64_t id -> struct attempt */
 	GPtrArray *requests; /* struct entry_request */
 	GRand *rand;
-	uint64_t origin;
-	uint64_t next_id;
-	ev_timer tick;
+	uint64_t origin; /* random id of this process in messages to gates */
+	uint64_t next_id; /* id of the last attempt */
+	ev_timer tick; /* runs while there are requests */
 };
 
+/* Listens for callers. Results as httpd_init(). */
 int entry_init(struct entry *e, struct node *node);
+
+/* Stops listening and frees the entry; open requests are cut off. */
 void entry_finish(struct entry *e);
 
-/* Take over what changed in the configuration; cheap when nothing did. */
+/* Applies the limits of the configuration in force, if that has changed. */
 void entry_apply_configuration(struct entry *e);
 
-/* A message from a gate. */
+/* Handles a message from a gate. */
 void entry_on_message(struct entry *e, const struct request_msg *m);
 
 /*
- * A member's process is certainly gone, and with it all it was asked: wait for
- * it no longer.
+ * To be called when a member's process has certainly ended. The requests sent
+ * to its gate ended with it, so their attempts are ended without waiting.
  */
 void entry_on_member_superseded(struct entry *e, int64_t member);
 
 /*
- * A member left, or its lease lapsed. It may well be finishing what it was
- * asked, and answer; nothing new is sent there.
+ * To be called when a member left or its lease lapsed. Attempts already sent
+ * there may still be answered; those not sent yet are cancelled, and the gate
+ * is suspect for a while.
  */
 void entry_on_member_lease_over(struct entry *e, int64_t member);
 
-/* Ask callers to come by new connections, and so to look elsewhere. */
+/* Makes callers open new connections, which may lead them to other nodes. */
 void entry_drain(struct entry *e);
 
 /*
- * The process ends in a moment: answer what is still in progress, as far as no
- * answer has begun.
+ * Answers every request whose answer has not begun, as the process is about to
+ * exit.
  */
 void entry_answer_open_requests(struct entry *e);
 
-/* Take no new connections; requests in progress end. */
+/* Accepts no new connections; requests in progress continue. */
 void entry_close(struct entry *e);
+
+/*
+ * Whether no request is in progress and, after entry_close(), no connection is
+ * open.
+ */
 bool entry_is_idle(const struct entry *e);
 
 #endif
