--- a/node/entry.c
+++ b/node/entry.c
@@ -12,20 +12,30 @@
 
 #define TICK_S 0.02
 #define MAX_REQUESTS 8192
+/* A gate that refused a request for load or draining is avoided this long. */
 #define REFUSED_AVOID_MS 50
+/*
+ * At an attempt's deadline its link is closed if nothing was received over it
+ * for this long.
+ */
 #define LINK_TIMEOUT_MS 3000
-/* An entry that sends little hears little: a second without a word is silence. */
+/*
+ * A gate that has not answered this entry for this long may be lost. An entry
+ * that sends few requests receives few answers, so a shorter time without one
+ * proves nothing.
+ */
 #define GATE_SUSPECT_MS 1000
+/* Least number of bytes in one credit message to a gate. */
 #define CREDIT_MIN_BYTES (32 * 1024)
-/* Between questions to the heir of an owner that says nothing. */
+/* Between attempts at successors while the owner of a key does not answer. */
 #define SUCCESSOR_INTERVAL_MS 200
 
+/* The gate's average latency for the request's class. */
 static double expected_ms(struct entry_request *r, const struct gate_view *v)
 {
 	return cost_from_nominal_ms(entry_class_cost(r), v->latency_ms);
 }
 
-/* What repeats and hedges of requests to a service may add to its load. */
 struct retry_budget *entry_retry_budget(struct entry *e, const char *service)
 {
 	const struct settings *s = &e->node->settings;
@@ -34,7 +44,7 @@
 
 	if (b)
 		return b;
-	/* The reserve is the fleet's: a share of it is ours. */
+	/* The setting is for the whole fleet; each member has an equal share. */
 	b = g_new0(struct retry_budget, 1);
 	retry_budget_init(b, s->retry_share,
 			  MAX(s->retry_reserve / MAX(n, 1), 1));
@@ -54,6 +64,7 @@
 	return c;
 }
 
+/* Ends an attempt in the plan and takes the next step. */
 static void end_plan_attempt(struct entry_request *r, uint32_t number,
 			     enum attempt_event why)
 {
@@ -66,6 +77,7 @@
 	entry_take_step(r, step);
 }
 
+/* Sends the request to the next gate; without one, asks the plan to wait. */
 static void send_next_attempt(struct entry_request *r)
 {
 	int64_t member = entry_pick_gate(r, r->plan.tries ? r->last_member : 0);
@@ -80,7 +92,6 @@
 						     clock_now_ms()));
 }
 
-/* Do what the plan says. */
 void entry_take_step(struct entry_request *r, enum plan_step step)
 {
 	if (r->done)
@@ -150,7 +161,7 @@
 			 m->limit, clock_now_ms());
 }
 
-/* What a gate says of a request that it does not answer and that may have run. */
+/* The plan's event for a gate's report that a request may have run. */
 static enum attempt_event failure_event(const struct request_msg *m)
 {
 	if (!(m->flags & REQ_FLAG_BEGUN))
@@ -161,10 +172,13 @@
 					 : ATTEMPT_EVENT_CUT;
 }
 
-/* All that the gate had to say came before this on its link. */
+/*
+ * The last message of a stopping gate. Messages on a link arrive in order, so
+ * all its answers have been received.
+ */
 static void on_gate_stopping(struct entry *e, const struct request_msg *m)
 {
-	/* One that has left by the log already is no member any more. */
+	/* 0: the log has already removed the gate's member. */
 	if (m->to)
 		chooser_gate_view(&e->chooser, m->to)->stop_announced = true;
 	entry_send_stopping_ack(e, m->key);
@@ -187,8 +201,8 @@
 		return;
 	}
 	/*
-	 * Answers to attempts given up, or to an earlier process at this
-	 * address, must not reach another caller.
+	 * An answer to an attempt that was cancelled, or that an earlier
+	 * process at this address had sent, must not reach another caller.
 	 */
 	if (!a) {
 		COUNT(answers_late);
@@ -225,6 +239,10 @@
 	}
 }
 
+/*
+ * Sends a repeatable request without a key to a second gate as well if the
+ * first one takes unusually long. The retry budget limits this.
+ */
 static void hedge_if_due(struct entry_request *r, struct attempt *a,
 			 double age_ms)
 {
@@ -246,7 +264,7 @@
 	entry_send_attempt(r, member, true);
 }
 
-/* How long to wait for one gate before another is worth asking. */
+/* How long to wait for a key's owner before its successor is tried as well. */
 static double owner_hedge_delay_ms(struct entry_request *r,
 				   const struct attempt *a)
 {
@@ -257,9 +275,11 @@
 }
 
 /*
- * The owner of a key says nothing. It may be slow or lost: the attempt there
- * goes on, and whoever would inherit the key is asked beside it, round by
- * round. Cancelling instead would make of every short stall a long one.
+ * If the owner of a key does not answer, sends the request to the owner's
+ * successor as well. While only the owner's attempt is open, this is repeated
+ * every SUCCESSOR_INTERVAL_MS. The owner may be slow or lost, so the attempt
+ * there stays open: if it were cancelled, a short stall of the owner would
+ * become a long delay of the request.
  */
 static void ask_successor_if_due(struct entry_request *r,
 				 const struct attempt *a, double age_ms,
@@ -281,7 +301,7 @@
 		entry_send_attempt(r, member, false);
 }
 
-/* Take back an attempt that has not left, for the next gate. */
+/* Cancels an attempt that has not been sent, and tries the next gate. */
 static bool cancel_unsent(struct entry_request *r, struct attempt *a)
 {
 	uint32_t number = a->number;
@@ -292,6 +312,10 @@
 	return true;
 }
 
+/*
+ * Cancels an attempt and takes the next step of the plan. suspect: the gate may
+ * be lost and is avoided for a while.
+ */
 static void cancel_attempt(struct entry_request *r, struct attempt *a,
 			   enum attempt_event why, int result, bool suspect)
 {
@@ -325,7 +349,10 @@
 		if (a->member != e->node->member.self_id &&
 		    now - last_received_at_ms > LINK_TIMEOUT_MS)
 			peers_replace(&e->node->peers, a->address);
-		/* A gate that answers others is slow, not silent. */
+		/*
+		 * A gate that has lately answered other requests is slow but
+		 * not lost.
+		 */
 		cancel_attempt(r, a, ATTEMPT_EVENT_TIMEOUT, RESULT_TIMEOUT,
 			       now - v->last_answer_at_ms > GATE_SUSPECT_MS);
 		return;
@@ -366,7 +393,7 @@
 		ev_timer_stop(loop, w);
 }
 
-/* Whether an attempt waits for a member's gate, and is not being answered. */
+/* Whether an attempt is open at a member's gate and its answer has not begun. */
 static bool awaits_answer_from(const struct entry_request *r, uint32_t i,
 			       int64_t member)
 {
@@ -426,13 +453,17 @@
 			header_add(r->headers, g_ptr_array_index(all, i),
 				   g_ptr_array_index(all, i + 1));
 	g_ptr_array_unref(all);
-	/* Whatever the caller says of itself, we know where it came in. */
+	/*
+	 * Replaces what the caller sent: the service of the node that received
+	 * the request is known.
+	 */
 	header_set(r->headers, s->headers->caller_service, s->service);
 }
 
 /*
- * One that may not be repeated waits for its turn: should the connection end
- * before, the caller takes it for never read and sends it again.
+ * Whether a pipelined request may start before those ahead of it are answered.
+ * A request that must not run twice may not: if the connection ended before its
+ * turn, the caller would assume that it was never read and send it again.
  */
 static bool may_begin(void *user, const struct httpd_request *http)
 {
@@ -459,8 +490,8 @@
 		return;
 	}
 	/*
-	 * A stopping process ends within seconds, and what it took up now
-	 * would be cut then, though a server works on it.
+	 * A stopping process exits within seconds. A request accepted now would
+	 * be cut off then, while a backend server works on it.
 	 */
 	if (e->httpd.closed) {
 		entry_reply_not_run(r, "this node is stopping\n");
@@ -476,7 +507,7 @@
 	send_next_attempt(r);
 }
 
-/* The caller left: nobody waits for what is still being done for it. */
+/* The caller has left, so all attempts are cancelled. */
 static void on_gone(void *user, struct httpd_request *http)
 {
 	struct entry_request *r = http->user;
@@ -512,6 +543,7 @@
 	g_free(r);
 }
 
+/* The caller has taken bytes of the answer: the gate may send as many more. */
 static void on_drained(void *user, struct httpd_request *http)
 {
 	struct entry *e = user;
@@ -535,7 +567,6 @@
 	.on_drained = on_drained,
 };
 
-/* Listen for callers. Results as httpd_init(). */
 int entry_init(struct entry *e, struct node *node)
 {
 	memset(e, 0, sizeof(*e));
@@ -571,11 +602,11 @@
 	e->httpd.max_body_bytes =
 		MAX(e->node->settings.max_body_bytes, l->max_body_bytes);
 	if (httpd_accept_heads(&e->httpd, l->max_header_bytes))
-		g_warning("cannot accept heads of %" PRId64 " bytes",
+		g_warning("cannot raise the limit of request heads to %" PRId64
+			  " bytes",
 			  l->max_header_bytes);
 }
 
-/* Stop listening and release; requests still open are cut. */
 void entry_finish(struct entry *e)
 {
 	if (e->httpd.daemon)
@@ -600,7 +631,7 @@
 	httpd_close(&e->httpd);
 }
 
-/* Nothing more can be heard of what is open. */
+/* The process is about to exit: no answer to an open attempt can be received. */
 static void cancel_attempts(struct entry_request *r)
 {
 	uint32_t i;
