--- a/node/entry-answer.c
+++ b/node/entry-answer.c
@@ -10,12 +10,12 @@
 #include "util/histogram.h"
 #include "util/result.h"
 
-/* What the caller gets: a gate's answer, or one of our own. */
+/* Answers to callers: those received from gates, and the entry's own. */
 
+/* Largest random addition to Retry-After in whole seconds. */
 #define RETRY_AFTER_SPREAD_S 2
 #define MS_PER_S 1000
 
-/* Keep how an attempt ended, for the line about its request. */
 void entry_record_attempt(struct entry_request *r, const struct attempt *a,
 			  int result)
 {
@@ -27,7 +27,11 @@
 	p->ms = (clock_now_us() - a->sent_at_us) / 1000;
 }
 
-/* All attempts in one line, so that no other has to be looked up. */
+/*
+ * The last attempts as JSON arrays of member, result and milliseconds. With
+ * them one event tells how the request went, without those of its attempts.
+ * Valid until the next call.
+ */
 static const char *past_attempts_text(const struct entry_request *r)
 {
 	static char out[256];
@@ -45,6 +49,7 @@
 	return out;
 }
 
+/* Emits the event of a final answer of the entry's own, with its reason. */
 static void emit_outcome(struct entry_request *r, enum event e, const char *why,
 			 int64_t wait_ms)
 {
@@ -65,6 +70,7 @@
 		    plan_n_servers_reached(p), past_attempts_text(r));
 }
 
+/* Time since the request was received. */
 static double age_ms(const struct entry_request *r)
 {
 	return clock_now_ms() - r->plan.received_at_ms;
@@ -83,8 +89,8 @@
 		return;
 	}
 	/*
-	 * Callers refused together would come back together, and bring the
-	 * overload back with them; so each is told a time of its own.
+	 * Callers that are refused at the same time must not retry at the same
+	 * time, which would bring the overload back. So a random time is added.
 	 */
 	header_add_int(headers, "Retry-After",
 		       MAX((wait_ms + MS_PER_S - 1) / MS_PER_S, 1) +
@@ -92,6 +98,10 @@
 						RETRY_AFTER_SPREAD_S + 1));
 }
 
+/*
+ * Sends an answer of the entry's own. It gets no outcome header if outcome is
+ * NULL, and no Retry-After if wait_ms is negative.
+ */
 static void reply(struct entry_request *r, uint32_t status, const char *outcome,
 		  int64_t wait_ms, const char *text)
 {
@@ -112,7 +122,6 @@
 	g_ptr_array_unref(headers);
 }
 
-/* Answer for good that the request did not run. */
 void entry_reply_not_run(struct entry_request *r, const char *text)
 {
 	double jitter = g_rand_double(r->entry->rand);
@@ -132,7 +141,6 @@
 #undef CAUSE_COUNTER
 };
 
-/* Answer for good that it may have run. */
 void entry_reply_unknown(struct entry_request *r)
 {
 	enum plan_cause cause;
@@ -145,10 +153,9 @@
 	MEASURE(unknown_ms, age_ms(r));
 	emit_outcome(r, EVENT_request_unknown, plan_cause_text(cause), -1);
 	reply(r, 504, OUTCOME_UNKNOWN, r->plan.repeatable ? MS_PER_S : -1,
-	      "no whole answer came; the request may have run\n");
+	      "no complete answer was received; the request may have run\n");
 }
 
-/* Answer that the request itself is at fault. */
 void entry_reject(struct entry_request *r, uint32_t status, const char *text)
 {
 	COUNT(requests_rejected);
@@ -156,6 +163,7 @@
 	reply(r, status, NULL, -1, text);
 }
 
+/* Headers for the caller. *length: of the body, -1 if it is not stated. */
 static GPtrArray *answer_headers(const struct request_msg *m, int64_t *length)
 {
 	GPtrArray *headers = headers_new();
@@ -174,6 +182,10 @@
 	return headers;
 }
 
+/*
+ * Whether the answer that m ends has the length and digest that the gate sent.
+ * If not, it is incomplete or mixed with another one.
+ */
 static bool answer_is_complete(const struct entry_request *r,
 			       const struct request_msg *m)
 {
@@ -207,7 +219,6 @@
 	cost_update_bytes(entry_class_cost(r), r->received_bytes);
 }
 
-/* The answer of an attempt is at its end; one not whole cuts the caller off. */
 void entry_end_answer(struct entry_request *r, struct attempt *a, bool ok)
 {
 	if (ok) {
@@ -222,7 +233,6 @@
 	entry_remove_attempt(r->entry, a);
 }
 
-/* An answer's head, with its first bytes or all of them. */
 void entry_on_answer_head(struct entry_request *r, struct attempt *a,
 			  const struct request_msg *m)
 {
@@ -261,7 +271,6 @@
 	g_ptr_array_unref(headers);
 }
 
-/* More bytes of an answer under way. */
 void entry_on_answer_data(struct entry_request *r, struct attempt *a,
 			  const struct request_msg *m)
 {
--- a/node/entry-attempt.c
+++ b/node/entry-attempt.c
@@ -9,7 +9,7 @@
 #include "util/histogram.h"
 #include "util/result.h"
 
-/* Attempts at gates: messages that go out, and what is kept about them. */
+/* Attempts: the messages to gates, and the list of open attempts. */
 
 void entry_remove_attempt(struct entry *e, struct attempt *a)
 {
@@ -24,6 +24,10 @@
 	g_hash_table_remove(e->attempts, &a->id);
 }
 
+/*
+ * Passes a message to the gate of an attempt, directly if that is in this
+ * process. Returns RESULT_OK, or an error of peers_send() if it was not sent.
+ */
 static int send_to_gate(struct entry *e, const struct attempt *a,
 			const struct request_msg *m)
 {
@@ -46,6 +50,7 @@
 	return err;
 }
 
+/* Sends a message that has no other content than a number. */
 static void send_control(struct entry *e, const struct attempt *a,
 			 enum request_msg_type type, int64_t number)
 {
@@ -151,6 +156,10 @@
 	m->len = r->http->body->len;
 }
 
+/*
+ * Measures how long the first attempt took from reading the request, or another
+ * one from the last refusal.
+ */
 static void measure_delay(const struct entry_request *r,
 			  const struct attempt *a)
 {
@@ -216,7 +225,10 @@
 	m.id = a->id;
 	id = a->id;
 	record_sent(r, a, now);
-	/* Our own gate may answer, and end the request, before this returns. */
+	/*
+	 * The gate of this process may answer within the call; then the attempt
+	 * is freed, and the request may be done, when it returns.
+	 */
 	err = chooser_gate_view(&e->chooser, member)->stop_announced
 		      ? RESULT_UNREACHABLE
 		      : send_to_gate(e, a, &m);
