--- a/node/entry-classify.c
+++ b/node/entry-classify.c
@@ -6,6 +6,10 @@
 
 #define MAX_KEY_LEN 512
 
+/*
+ * The n-th segment of a path, counted from 1. NULL if the path has fewer; to be
+ * freed.
+ */
 static char *path_segment(const char *path, uint32_t n)
 {
 	const char *p = path;
@@ -25,6 +29,7 @@
 	return g_strndup(p, end ? (size_t)(end - p) : strlen(p));
 }
 
+/* The service's key in a request, NULL if there is none; to be freed. */
 static char *find_key(struct httpd_request *http,
 		      const struct service_settings *s)
 {
@@ -40,7 +45,7 @@
 	}
 }
 
-/* One of the services that a class's requests are split between, by weight. */
+/* Draws the service of a request, by weight, from those of its class. */
 static const struct service_settings *
 pick_target(const struct configuration *cfg, const struct class_settings *k,
 	    GRand *rand)
@@ -60,7 +65,7 @@
 	return &cfg->services[k->targets[i].service];
 }
 
-/* How long the caller waits, as it says itself; at most what the class has. */
+/* How long the caller waits, by its header; at most the deadline of the class. */
 static int64_t caller_timeout_ms(const struct entry_request *r,
 				 const struct class_settings *k)
 {
@@ -76,6 +81,7 @@
 	return MIN((int64_t)ms, k->deadline_ms);
 }
 
+/* Sets target, deadline and limits of a request from its class. */
 static void apply_class(struct entry_request *r, const struct class_settings *k)
 {
 	const struct settings *s = &r->entry->node->settings;
@@ -97,7 +103,12 @@
 				    (int64_t)(s->hold_share * k->target_ms));
 }
 
-/* Keys that are not the service's own are ids: they pick a gate as well. */
+/*
+ * Finds the key and shard of a request. If the service has no keys, a request
+ * that must not run twice and may have been sent before takes the shard of its
+ * idempotency key, which thereby chooses the gate. Returns false if the
+ * service's key is missing or too long.
+ */
 static bool find_shard(struct entry_request *r,
 		       const struct service_settings *ss)
 {
@@ -146,9 +157,10 @@
 	const struct class_settings *k;
 
 	/*
-	 * A process that has just started has old configurations before the
-	 * one in force. Served by one of those, a caller is told 404 for a
-	 * route that exists, or is sent to a service that it has left.
+	 * A process that has just started applies old configurations before it
+	 * reaches the one in force. With an old one, a caller would get 404 for
+	 * a route that exists, or its request would go to a service that the
+	 * route no longer leads to.
 	 */
 	if (!f->document || !member_is_current(&e->node->member)) {
 		entry_reply_not_run(r, "no configuration is in force yet\n");
@@ -157,7 +169,8 @@
 	r->configuration_version = f->configuration_version;
 	k = match_class(e, r->http);
 	if (!k && member_is_behind(&e->node->member)) {
-		entry_reply_not_run(r, "a newer configuration is on its way\n");
+		entry_reply_not_run(
+			r, "a newer configuration is not applied yet\n");
 		return false;
 	}
 	if (!k) {
--- a/node/entry-pick.c
+++ b/node/entry-pick.c
@@ -4,13 +4,13 @@
 #include "node/entry-request.h"
 #include "node/node.h"
 
-/* Which gate to ask. */
+/* Chooses the gate that a request is sent to. */
 
 #define MAX_CANDIDATES 8
 #define MAX_MEMBERS 2048
 #define MAX_PREV_OWNER_REFUSALS 65536
 
-/* What a gate in another data centre costs a request, on the nominal scale. */
+/* Cost of a gate in another data centre, on the nominal scale of route/cost.h. */
 static double remote_gate_ms(struct entry_request *r)
 {
 	const struct settings *s = &r->entry->node->settings;
@@ -18,7 +18,7 @@
 	return cost_far_ms(entry_class_cost(r), s->far_ms, s->far_ms_per_kb);
 }
 
-/* Members that may serve a request on no particular shard. */
+/* Lists the gates that can serve a request without a key. */
 static uint32_t list_service_gates(struct entry_request *r,
 				   struct gate_option *out)
 {
@@ -42,9 +42,10 @@
 }
 
 /*
- * The next candidate in turn. The first asked is one that has not been silent
- * of late, or a dead owner would cost every request its whole patience; but
- * once one has refused, the silent one may be the only owner there is.
+ * The next candidate in turn, or 0. Until a gate has refused the request, a
+ * candidate whose gate is not suspect is preferred: otherwise every request
+ * would first wait for a dead owner as long as it waits for any gate. Once a
+ * gate has refused, the suspect one may be the only owner there is.
  */
 static int64_t pick_candidate(struct entry_request *r, const int64_t *members,
 			      uint32_t count)
@@ -63,11 +64,15 @@
 }
 
 /*
- * A shard that moves is served by its owner before for a while, and so that one
- * is asked first. Once it has said that it does not serve it, asking it again
- * costs each request a way there and back, until the move is settled by a
- * record, for which the store may have to be waited for.
+ * While a shard moves, its previous owner still serves it for some time and is
+ * tried first. After the previous owner has refused a request as not the owner,
+ * trying it first would cost each request a round trip until a record settles
+ * the move, and that record may have to wait for the store. So the entry keeps,
+ * for each such shard, the fence of the move: until it changes, the previous
+ * owner is tried last.
  */
+
+/* Key of the request's shard in entry::prev_owner_refusals. */
 static int64_t shard_table_key(const struct entry_request *r)
 {
 	struct fleet *f = &r->entry->node->member.fleet;
@@ -105,8 +110,9 @@
 }
 
 /*
- * The owner before goes last instead of first. Decided once for a request, or
- * its attempts would not go round all candidates.
+ * Moves the previous owner from the first to the last place if it has refused.
+ * This is decided once for each request: if the order changed between its
+ * attempts, they might not reach all candidates.
  */
 static void move_prev_owner_last(struct entry_request *r,
 				 const struct shard *sh, int64_t *members,
@@ -120,7 +126,6 @@
 	members[count - 1] = sh->prev_owner;
 }
 
-/* The gate to ask next, other than excluded where there is a choice; 0 none. */
 int64_t entry_pick_gate(struct entry_request *r, int64_t excluded)
 {
 	static struct gate_option options[MAX_MEMBERS];
