--- a/node/entry-answer.c
+++ b/node/entry-answer.c
@@ -153,7 +153,7 @@
 	MEASURE(unknown_ms, age_ms(r));
 	emit_outcome(r, EVENT_request_unknown, plan_cause_text(cause), -1);
 	reply(r, 504, OUTCOME_UNKNOWN, r->plan.repeatable ? MS_PER_S : -1,
-	      "no complete answer was received; the request may have run\n");
+	      "no whole answer came; the request may have run\n");
 }
 
 void entry_reject(struct entry_request *r, uint32_t status, const char *text)
--- a/node/entry-classify.c
+++ b/node/entry-classify.c
@@ -169,8 +169,7 @@
 	r->configuration_version = f->configuration_version;
 	k = match_class(e, r->http);
 	if (!k && member_is_behind(&e->node->member)) {
-		entry_reply_not_run(
-			r, "a newer configuration is not applied yet\n");
+		entry_reply_not_run(r, "a newer configuration is on its way\n");
 		return false;
 	}
 	if (!k) {
