--- a/node/backend.c
+++ b/node/backend.c
@@ -38,11 +38,11 @@
 	};
 
 	g_strlcpy(b.id, a->id, sizeof(b.id));
-	g_snprintf(b.life, sizeof(b.life), "%s/%" G_GINT64_FORMAT, a->id,
-		   (gint64)a->born_ms);
-	gate_announce(&n->gate, &b);
+	g_snprintf(b.instance_id, sizeof(b.instance_id), "%s/%" G_GINT64_FORMAT,
+		   a->id, (gint64)a->born_ms);
+	gate_backend_announced(&n->gate, &b);
 	n->backend_left = false;
-	member_set_server_instance(&n->member, b.life);
+	member_set_server_instance(&n->member, b.instance_id);
 	node_backend_announced(n);
 }
 
@@ -54,7 +54,7 @@
 	      event_text(n->life.id), event_text(why));
 	g_info("backend server %s: %s", n->life.id, why);
 	n->backend_left = true;
-	gate_leave(&n->gate);
+	gate_backend_left(&n->gate);
 	node_backend_left(n);
 }
 
@@ -72,7 +72,7 @@
 	}
 	if (a->draining)
 		leaves(n, "is leaving");
-	cold_start_set_remaining(&n->gate.load.cold_start, a->cold_left_ms,
+	cold_start_set_remaining(&n->gate.admission.cold_start, a->cold_left_ms,
 				 clock_now_ms());
 }
 
--- a/node/gate-answer.c
+++ b/node/gate-answer.c
@@ -15,14 +15,14 @@
 #define BLOCK_BYTES (64 * 1024)
 #define STATUS_MISDIRECTED 421
 
-static int result_outcome(const struct gate_request *r, int result)
+static int limit_outcome(const struct gate_request *r, int result)
 {
-	if (r->shed)
+	if (r->server_refused)
 		return LIMIT_SHED;
 	return result == RESULT_OK ? LIMIT_ANSWERED : LIMIT_FAILED;
 }
 
-static void send_part(struct gate_request *r, bool end)
+static void send_answer_part(struct gate_request *r, bool end)
 {
 	struct request_msg m = { .type = r->head_sent ? REQ_DATA : REQ_HEAD };
 	GPtrArray *headers = NULL;
@@ -47,17 +47,17 @@
 	}
 	m.headers = headers;
 	m.status = r->fetch.status;
-	m.data = r->pending->data;
-	m.len = r->pending->len;
+	m.data = r->unsent_answer->data;
+	m.len = r->unsent_answer->len;
 	if (end) {
 		m.flags |= REQ_FLAG_END;
-		m.total = r->total;
+		m.total = r->answer_bytes;
 		m.digest = XXH64_digest(&r->digest);
 	}
-	r->uncredited += r->pending->len;
+	r->uncredited += r->unsent_answer->len;
 	r->head_sent = true;
-	gate_emit_for(r, &m);
-	g_byte_array_set_size(r->pending, 0);
+	gate_send_for(r, &m);
+	g_byte_array_set_size(r->unsent_answer, 0);
 	if (headers)
 		g_ptr_array_unref(headers);
 }
@@ -71,7 +71,7 @@
 static bool check_head(struct fetch *f)
 {
 	const struct gate_request *r = f->user;
-	const struct header_names *names = gate_names(r);
+	const struct header_names *names = gate_header_names(r);
 	const char *echo = header_find(f->answer_headers, names->attempt_id);
 
 	if (r->attempt_id && (!echo || strcmp(echo, r->attempt_id))) {
@@ -89,7 +89,7 @@
 
 static double connect_ms(const struct gate_request *r)
 {
-	return (r->fetch.sent_us - r->started_us) / 1000.0;
+	return (r->fetch.sent_us - r->started_at_us) / 1000.0;
 }
 
 static void on_head(struct fetch *f)
@@ -97,38 +97,39 @@
 	struct gate_request *r = f->user;
 
 	MEASURE(connect_ms, connect_ms(r));
-	r->gate->heard_ms = clock_now_ms();
+	r->gate->backend_alive_at_ms = clock_now_ms();
 	if (f->status != STATUS_MISDIRECTED)
-		gate_connected(r->gate);
+		gate_connect_succeeded(r->gate);
 	/* Another server than the one that was named says no more than that. */
-	r->shed = header_find(f->answer_headers, gate_names(r)->not_run) ||
-		  f->status == STATUS_MISDIRECTED;
+	r->server_refused =
+		header_find(f->answer_headers, gate_header_names(r)->not_run) ||
+		f->status == STATUS_MISDIRECTED;
 }
 
 static bool on_data(struct fetch *f, const void *data, size_t len)
 {
 	struct gate_request *r = f->user;
 
-	if (r->shed)
+	if (r->server_refused)
 		return true;
 	/*
 	 * An entry whose caller reads slowly must not make this process hold
 	 * the whole answer: beyond the window the backend server waits.
 	 */
-	if (r->uncredited >= GATE_WINDOW_BYTES && !r->unwanted)
+	if (r->uncredited >= GATE_WINDOW_BYTES && !r->cancelled)
 		return false;
-	g_byte_array_append(r->pending, data, len);
+	g_byte_array_append(r->unsent_answer, data, len);
 	XXH64_update(&r->digest, data, len);
-	r->total += len;
-	if (r->kept && r->kept->len + len <= BLOCK_BYTES)
-		g_string_append_len(r->kept, data, len);
-	if (r->pending->len >= BLOCK_BYTES)
-		send_part(r, false);
+	r->answer_bytes += len;
+	if (r->stored_answer && r->stored_answer->len + len <= BLOCK_BYTES)
+		g_string_append_len(r->stored_answer, data, len);
+	if (r->unsent_answer->len >= BLOCK_BYTES)
+		send_answer_part(r, false);
 	return true;
 }
 
 /* Our picture of what the server holds is wrong. */
-static void misdirected(const struct gate_request *r, int64_t now)
+static void handle_misdirected(const struct gate_request *r, int64_t now)
 {
 	struct grants *g = &r->gate->grants;
 	const struct grant *s;
@@ -149,19 +150,19 @@
 	struct gate_request *r = f->user;
 	struct gate *g = r->gate;
 	int64_t now = clock_now_ms();
-	double ms = (clock_now_us() - r->started_us) / 1000.0;
+	double ms = (clock_now_us() - r->started_at_us) / 1000.0;
 
-	admission_done(&g->load, r->class_index, result_outcome(r, result), ms,
-		       r->started_us / 1000, now);
-	gate_note_seen(r, result);
+	admission_done(&g->admission, r->class_index, limit_outcome(r, result),
+		       ms, r->started_at_us / 1000, now);
+	gate_record_outcome(r, result);
 	if (result == RESULT_UNREACHABLE)
-		gate_not_connected(g, f);
-	if (r->shed) {
+		gate_connect_failed(g, f);
+	if (r->server_refused) {
 		COUNT(gate_backend_shed);
 		if (f->status == STATUS_MISDIRECTED && r->keyed)
-			misdirected(r, now);
+			handle_misdirected(r, now);
 		else if (f->status == STATUS_MISDIRECTED)
-			gate_not_connected(g, f);
+			gate_connect_failed(g, f);
 		gate_refuse(r, f->status == STATUS_MISDIRECTED
 				       ? RESULT_NOT_OWNER
 				       : RESULT_OVERLOAD);
@@ -174,10 +175,11 @@
 			      ",\"bytes\":%" PRId64 ",\"sent_ms\":%" PRId64
 			      ",\"arrived_ms\":%" PRId64,
 			      g->node->member.self_id, f->status, connect_ms(r),
-			      ms, r->total, r->sent_ms, r->arrived_ms);
-		queue_update_answer_bytes(&g->load.queue, r->class_index,
-					  r->total);
-		send_part(r, true);
+			      ms, r->answer_bytes, r->sent_at_ms,
+			      r->arrived_at_ms);
+		queue_update_answer_bytes(&g->admission.queue, r->class_index,
+					  r->answer_bytes);
+		send_answer_part(r, true);
 		gate_request_free(r);
 	} else if (!f->sent) {
 		COUNT(gate_backend_failed);
@@ -186,8 +188,8 @@
 		COUNT(gate_backend_failed);
 		gate_fail(r, result);
 	}
-	gate_check_reached(g);
-	gate_refill(g);
+	gate_check_connect_failures(g);
+	gate_read_and_start(g);
 }
 
 const struct fetch_ops gate_fetch_ops = {
--- a/node/gate-take-back.c
+++ b/node/gate-cancel.c
@@ -13,15 +13,15 @@
 static const char *state_name(enum gate_state state)
 {
 	static const char *const names[] = {
-		[GATE_WAITING] = "waiting", [GATE_PARKED] = "parked",
-		[GATE_CUT] = "cut",	    [GATE_ASKED] = "asked",
+		[GATE_QUEUED] = "waiting",  [GATE_SHARD_WAIT] = "parked",
+		[GATE_LINK_WAIT] = "cut",   [GATE_CONFIRM_WAIT] = "asked",
 		[GATE_RUNNING] = "running",
 	};
 
 	return names[state];
 }
 
-void gate_take_back(struct gate_request *r, int64_t late_ms)
+void gate_cancel_request(struct gate_request *r, int64_t excess_delay_ms)
 {
 	struct gate *g = r->gate;
 
@@ -31,8 +31,8 @@
 	 * send it again.
 	 */
 	if (r->state == GATE_RUNNING && !r->repeatable && r->fetch.sent) {
-		r->unwanted = true;
-		gate_leave_link(r);
+		r->cancelled = true;
+		gate_unreserve_link(r);
 		fetch_resume(&r->fetch);
 		return;
 	}
@@ -42,33 +42,35 @@
 	      ",\"age_ms\":%" PRId64 ",\"late_ms\":%" PRId64
 	      ",\"sent_ms\":%" PRId64 ",\"arrived_ms\":%" PRId64,
 	      g->node->member.self_id, state_name(r->state),
-	      r->repeatable ? "true" : "false", clock_now_ms() - r->arrived_ms,
-	      late_ms, r->sent_ms, r->arrived_ms);
-	if (r->state == GATE_RUNNING && r->seen_hash && !r->fetch.sent)
-		ids_forget(&g->ids, r->seen_hash);
-	else if (r->state == GATE_RUNNING && r->seen_hash)
-		ids_end(&g->ids, r->seen_hash, SEEN_UNKNOWN, 0, NULL, NULL, 0);
-	gate_take_out(r);
+	      r->repeatable ? "true" : "false",
+	      clock_now_ms() - r->arrived_at_ms, excess_delay_ms, r->sent_at_ms,
+	      r->arrived_at_ms);
+	if (r->state == GATE_RUNNING && r->id_hash && !r->fetch.sent)
+		ids_forget(&g->ids, r->id_hash);
+	else if (r->state == GATE_RUNNING && r->id_hash)
+		ids_end(&g->ids, r->id_hash, SEEN_UNKNOWN, 0, NULL, NULL, 0);
+	gate_detach(r);
 	gate_request_free(r);
-	gate_pump(g);
+	gate_start_queued(g);
 }
 
 /*
  * A link that was replaced can deliver a request after the new one has brought
  * what takes it back.
  */
-void gate_note_taken_back(struct gate *g, const struct request_msg *m)
+void gate_record_early_cancel(struct gate *g, const struct request_msg *m)
 {
-	if (!gate_was_taken_back(g, m))
-		recent_add(&g->taken_back, m->origin, m->id, g_new0(char, 1));
+	if (!gate_has_early_cancel(g, m))
+		recent_add(&g->early_cancels, m->origin, m->id,
+			   g_new0(char, 1));
 }
 
-bool gate_was_taken_back(const struct gate *g, const struct request_msg *m)
+bool gate_has_early_cancel(const struct gate *g, const struct request_msg *m)
 {
-	return recent_get(&g->taken_back, m->origin, m->id);
+	return recent_get(&g->early_cancels, m->origin, m->id);
 }
 
-static bool came_from(const struct gate_request *r, const char *address)
+static bool is_from_address(const struct gate_request *r, const char *address)
 {
 	size_t len = strlen(address);
 	gsize n;
@@ -81,7 +83,7 @@
 	       !memcmp(identity, address, len);
 }
 
-void gate_entry_gone(struct gate *g, const char *address)
+void gate_entry_stopped(struct gate *g, const char *address)
 {
 	GList *all = g_hash_table_get_keys(g->requests);
 	GList *l;
@@ -89,9 +91,9 @@
 	for (l = all; l; l = l->next) {
 		struct gate_request *r = l->data;
 
-		if (r->state == GATE_RUNNING || !came_from(r, address))
+		if (r->state == GATE_RUNNING || !is_from_address(r, address))
 			continue;
-		gate_take_out(r);
+		gate_detach(r);
 		gate_refuse(r, RESULT_UNREACHABLE);
 	}
 	g_list_free(all);
--- a/node/gate-configure.c
+++ b/node/gate-configure.c
@@ -4,30 +4,30 @@
 
 /* What a gate takes over from a configuration. */
 
-#define MAX_CLASSES_GONE 1024
+#define MAX_REMOVED_CLASSES 1024
 
 /* known: this process has seen a configuration before. */
-static void follow_service(struct gate *g, bool known)
+static void update_in_service(struct gate *g, bool known)
 {
 	const struct node *n = g->node;
 	bool in = configuration_in_service(&n->member.fleet.configuration,
 					   n->settings.data_centre);
 
 	if (g->in_service && known && !in)
-		g->out_since_ms = clock_now_ms();
+		g->out_of_service_since_ms = clock_now_ms();
 	else if (in || !known)
-		g->out_since_ms = 0;
+		g->out_of_service_since_ms = 0;
 	g->in_service = in;
 }
 
 /* A class keeps its index, and so what was learned of it, by its name. */
-static void index_classes(struct gate *g, const struct configuration *cfg)
+static void update_classes(struct gate *g, const struct configuration *cfg)
 {
-	struct queue *q = &g->load.queue;
+	struct queue *q = &g->admission.queue;
 	GHashTable *t = g->class_indexes;
 	uint32_t i;
 
-	if (g_hash_table_size(t) > 2 * cfg->n_classes + MAX_CLASSES_GONE) {
+	if (g_hash_table_size(t) > 2 * cfg->n_classes + MAX_REMOVED_CLASSES) {
 		g_hash_table_remove_all(t);
 		queue_set_classes(q, 0);
 	}
@@ -52,15 +52,15 @@
 	const struct service_settings *ss;
 	struct fleet_service *s;
 
-	if (g->version == f->configuration_version)
+	if (g->configuration_version == f->configuration_version)
 		return;
-	follow_service(g, g->version >= 0);
-	g->version = f->configuration_version;
-	index_classes(g, &f->configuration);
+	update_in_service(g, g->configuration_version >= 0);
+	g->configuration_version = f->configuration_version;
+	update_classes(g, &f->configuration);
 	ss = configuration_service(&f->configuration,
 				   g->node->settings.service);
 	if (ss)
-		cold_start_set_rate(&g->load.cold_start, ss->cold_per_s);
+		cold_start_set_rate(&g->admission.cold_start, ss->cold_per_s);
 	s = fleet_service(f, g->node->settings.service);
 	if (s && s->n_shards != g->n_shards) {
 		g_free(g->shard_load);
--- a/node/gate-confirm.c
+++ b/node/gate-confirm.c
@@ -12,48 +12,50 @@
  */
 
 /* An answer that took longer is as old as what it answers for. */
-#define ANSWER_MS 400
+#define CONFIRM_ROUND_TRIP_MS 400
 
-static bool is_wanted(const struct gate_request *r)
+static bool is_confirmed(const struct gate_request *r)
 {
 	return !r->identity ||
-	       (r->wanted_ms >= 0 && r->wanted_ms >= r->gate->hold_until_ms);
+	       (r->confirmed_at_ms >= 0 &&
+		r->confirmed_at_ms >= r->gate->no_start_until_ms);
 }
 
-static void ask(struct gate_request *r)
+static void send_confirm(struct gate_request *r)
 {
 	struct request_msg m = { .type = REQ_CONFIRM };
 
-	r->asked_ms = clock_now_ms();
-	m.sent_ms = r->asked_ms;
+	r->confirm_sent_at_ms = clock_now_ms();
+	m.sent_ms = r->confirm_sent_at_ms;
 	COUNT(gate_confirms);
-	gate_emit_for(r, &m);
+	gate_send_for(r, &m);
 }
 
-bool gate_confirm(struct gate_request *r)
+bool gate_confirm_begin(struct gate_request *r)
 {
-	if (is_wanted(r))
+	if (is_confirmed(r))
 		return false;
-	gate_leave_link(r);
-	r->state = GATE_ASKED;
-	g_ptr_array_add(r->gate->asked, r);
-	ask(r);
+	gate_unreserve_link(r);
+	r->state = GATE_CONFIRM_WAIT;
+	g_ptr_array_add(r->gate->confirm_waiters, r);
+	send_confirm(r);
 	return true;
 }
 
-void gate_end_confirm(struct gate_request *r)
+void gate_confirm_end(struct gate_request *r)
 {
-	g_ptr_array_remove(r->gate->asked, r);
-	r->state = GATE_WAITING;
+	g_ptr_array_remove(r->gate->confirm_waiters, r);
+	r->state = GATE_QUEUED;
 }
 
 void gate_on_confirmed(struct gate_request *r, const struct request_msg *m)
 {
-	if (r->state != GATE_ASKED || clock_now_ms() - m->number > ANSWER_MS)
+	if (r->state != GATE_CONFIRM_WAIT ||
+	    clock_now_ms() - m->number > CONFIRM_ROUND_TRIP_MS)
 		return;
-	gate_know_origin(r->gate, m);
-	gate_end_confirm(r);
-	r->wanted_ms = m->number;
+	gate_set_delay_known(r->gate, m);
+	gate_confirm_end(r);
+	r->confirmed_at_ms = m->number;
 	gate_enqueue(r);
 }
 
@@ -61,18 +63,19 @@
 {
 	uint32_t i;
 
-	for (i = g->asked->len; i-- > 0;) {
+	for (i = g->confirm_waiters->len; i-- > 0;) {
 		struct gate_request *r;
 
 		/* Refusing one may end others. */
-		if (i >= g->asked->len)
+		if (i >= g->confirm_waiters->len)
 			continue;
-		r = g_ptr_array_index(g->asked, i);
-		if (now_ms >= r->answer_by_ms) {
-			gate_end_confirm(r);
+		r = g_ptr_array_index(g->confirm_waiters, i);
+		if (now_ms >= r->start_by_ms) {
+			gate_confirm_end(r);
 			gate_refuse(r, RESULT_TIMEOUT);
-		} else if (now_ms - r->asked_ms > ANSWER_MS) {
-			ask(r);
+		} else if (now_ms - r->confirm_sent_at_ms >
+			   CONFIRM_ROUND_TRIP_MS) {
+			send_confirm(r);
 		}
 	}
 }
--- a/node/gate-entries.c
+++ b/node/gate-entries.c
@@ -5,7 +5,7 @@
 
 #define MAX_ENTRIES 2048
 
-void gate_remember_entry(struct gate *g, const void *identity, size_t len)
+void gate_record_entry(struct gate *g, const void *identity, size_t len)
 {
 	GBytes *key;
 	struct gate_entry *e;
@@ -20,22 +20,22 @@
 		e = g_new0(struct gate_entry, 1);
 		g_hash_table_insert(g->entries, g_bytes_ref(key), e);
 	}
-	e->heard_ms = clock_now_ms();
+	e->last_request_at_ms = clock_now_ms();
 	g_bytes_unref(key);
 }
 
-void gate_note_said(struct gate *g, GBytes *identity, bool last)
+void gate_record_sent(struct gate *g, GBytes *identity, bool last)
 {
 	struct gate_entry *e = g_hash_table_lookup(g->entries, identity);
 
-	if (!e || !g->ending)
+	if (!e || !g->stopping)
 		return;
-	e->answered_since = e->unheard && !last;
-	e->unheard = e->unheard || last;
+	e->sent_after_stopping = e->stopping_ack_pending && !last;
+	e->stopping_ack_pending = e->stopping_ack_pending || last;
 }
 
-static struct gate_origin *origin_of(struct gate *g,
-				     const struct request_msg *m)
+static struct gate_origin *get_origin(struct gate *g,
+				      const struct request_msg *m)
 {
 	struct gate_origin *o = recent_get(&g->origins, m->origin, 0);
 
@@ -51,19 +51,19 @@
  * A link can hold messages back for seconds and deliver them then, when their
  * callers have long been answered.
  */
-int64_t gate_delay_ms(struct gate *g, const struct request_msg *m)
+int64_t gate_update_delay(struct gate *g, const struct request_msg *m)
 {
-	return delay_update(&origin_of(g, m)->delay, m->sent_ms,
+	return delay_update(&get_origin(g, m)->delay, m->sent_ms,
 			    clock_now_ms());
 }
 
-void gate_know_origin(struct gate *g, const struct request_msg *m)
+void gate_set_delay_known(struct gate *g, const struct request_msg *m)
 {
-	gate_delay_ms(g, m);
-	origin_of(g, m)->known = true;
+	gate_update_delay(g, m);
+	get_origin(g, m)->delay_known = true;
 }
 
-bool gate_knows_origin(struct gate *g, const struct request_msg *m)
+bool gate_delay_is_known(struct gate *g, const struct request_msg *m)
 {
-	return origin_of(g, m)->known;
+	return get_origin(g, m)->delay_known;
 }
--- a/node/gate-cut.c
+++ b/node/gate-link-wait.c
@@ -14,56 +14,57 @@
  */
 
 /* A request that has come so lately is word of its entry itself. */
-#define FRESH_MS 20
+#define RECENT_REQUEST_MS 20
 
-static bool can_answer(const struct gate_request *r)
+static bool entry_is_connected(const struct gate_request *r)
 {
 	const void *identity;
 	gsize len;
 
-	if (!r->identity || clock_now_ms() - r->arrived_ms < FRESH_MS)
+	if (!r->identity ||
+	    clock_now_ms() - r->arrived_at_ms < RECENT_REQUEST_MS)
 		return true;
 	identity = g_bytes_get_data(r->identity, &len);
 	return peers_reaches(&r->gate->node->peers, identity, len);
 }
 
-bool gate_set_aside(struct gate_request *r)
+bool gate_link_wait_begin(struct gate_request *r)
 {
-	if (can_answer(r))
+	if (entry_is_connected(r))
 		return false;
 	COUNT(gate_set_aside);
 	EVENT(gate_set_aside, r->attempt_id,
 	      "\"member\":%" PRId64 ",\"left_ms\":%" PRId64,
 	      r->gate->node->member.self_id, r->deadline_ms - clock_now_ms());
-	gate_leave_link(r);
-	r->state = GATE_CUT;
-	g_ptr_array_add(r->gate->cut, r);
+	gate_unreserve_link(r);
+	r->state = GATE_LINK_WAIT;
+	g_ptr_array_add(r->gate->link_waiters, r);
 	return true;
 }
 
-void gate_bring_back(struct gate_request *r)
+void gate_link_wait_end(struct gate_request *r)
 {
-	g_ptr_array_remove(r->gate->cut, r);
-	r->state = GATE_WAITING;
+	g_ptr_array_remove(r->gate->link_waiters, r);
+	r->state = GATE_QUEUED;
 }
 
-void gate_cut_tick(struct gate *g, int64_t now_ms)
+void gate_link_wait_tick(struct gate *g, int64_t now_ms)
 {
 	bool takes_work = node_takes_work(g->node);
 	uint32_t i;
 
-	for (i = g->cut->len; i-- > 0;) {
+	for (i = g->link_waiters->len; i-- > 0;) {
 		struct gate_request *r;
 
 		/* Refusing one may end others. */
-		if (i >= g->cut->len)
+		if (i >= g->link_waiters->len)
 			continue;
-		r = g_ptr_array_index(g->cut, i);
-		if (!takes_work || now_ms >= r->answer_by_ms) {
-			gate_bring_back(r);
+		r = g_ptr_array_index(g->link_waiters, i);
+		if (!takes_work || now_ms >= r->start_by_ms) {
+			gate_link_wait_end(r);
 			gate_refuse(r, RESULT_UNREACHABLE);
-		} else if (can_answer(r)) {
-			gate_bring_back(r);
+		} else if (entry_is_connected(r)) {
+			gate_link_wait_end(r);
 			gate_enqueue(r);
 		}
 	}
--- a/node/gate-give.c
+++ b/node/gate-move.c
@@ -9,15 +9,15 @@
 /* Ranges of keys that leave for a server with more room. */
 
 /* What another server's use was longer ago says nothing of now. */
-#define HEARD_MS 2000
+#define UTILIZATION_MAX_AGE_MS 2000
 
-static bool may_give(void *user, uint32_t shard)
+static bool can_move_shard(void *user, uint32_t shard)
 {
 	return member_can_move_shard(user, shard);
 }
 
 /* The others of our service that take work and were heard of late. */
-static GArray *others(const struct gate *g, int64_t now)
+static GArray *list_move_candidates(const struct gate *g, int64_t now)
 {
 	const struct member_node *n = &g->node->member;
 	GArray *list =
@@ -36,14 +36,14 @@
 			continue;
 		v = chooser_gate_view(&g->node->entry.chooser, m->id);
 		o.utilization = v->utilization;
-		if (now - v->last_answer_at_ms < HEARD_MS)
+		if (now - v->last_answer_at_ms < UTILIZATION_MAX_AGE_MS)
 			g_array_append_val(list, o);
 	}
 	return list;
 }
 
 /* Give some of our keys to a server that has more room for them. */
-void gate_give_away(struct gate *g, int64_t now)
+void gate_move_shards(struct gate *g, int64_t now)
 {
 	struct member_node *n = &g->node->member;
 	GArray *shards, *list;
@@ -52,13 +52,13 @@
 	if (!g->balance.n_shards || !n->self_id)
 		return;
 	balance_update(&g->balance,
-		       admission_load(&g->load) /
-			       MAX(g->load.limit.allowed, 1.0),
+		       admission_load(&g->admission) /
+			       MAX(g->admission.limit.allowed, 1.0),
 		       now);
 	shards = g_array_new(FALSE, FALSE, sizeof(uint32_t));
-	list = others(g, now);
-	if (balance_choose_shards(&g->balance, list, may_give, n, now, &to,
-				  shards) &&
+	list = list_move_candidates(g, now);
+	if (balance_choose_shards(&g->balance, list, can_move_shard, n, now,
+				  &to, shards) &&
 	    member_move_shards(n, to, shards, now))
 		EVENT(shards_given, NULL,
 		      "\"shards\":%u,\"to\":%" PRId64 ",\"use\":%.2f",
--- a/node/gate-park.c
+++ b/node/gate-shard-wait.c
@@ -12,11 +12,11 @@
  */
 
 /* As many as the queue behind the server takes in a moment. */
-#define PARKED_PER_SLOT 4
+#define WAITERS_PER_SLOT 4
 /* Time that the server needs besides. */
-#define WORK_MARGIN_MS 100
+#define SERVICE_MARGIN_MS 100
 
-static bool on_its_way(const struct gate_request *r)
+static bool shard_is_expected(const struct gate_request *r)
 {
 	const struct member_node *n = &r->gate->node->member;
 	int64_t fence, end;
@@ -28,46 +28,46 @@
 	       !member_may_serve(n, r->shard, clock_now_ms(), &fence, &end);
 }
 
-bool gate_park(struct gate_request *r)
+bool gate_shard_wait_begin(struct gate_request *r)
 {
 	struct gate *g = r->gate;
-	uint32_t most = g->backend_server.slots * PARKED_PER_SLOT;
+	uint32_t most = g->backend_server.slots * WAITERS_PER_SLOT;
 
 	if (!r->keyed || !g->grants.ops || g->draining ||
-	    g->parked->len >= most || !on_its_way(r))
+	    g->shard_waiters->len >= most || !shard_is_expected(r))
 		return false;
 	COUNT(gate_parked);
-	r->state = GATE_PARKED;
-	g_ptr_array_add(g->parked, r);
+	r->state = GATE_SHARD_WAIT;
+	g_ptr_array_add(g->shard_waiters, r);
 	return true;
 }
 
-void gate_unpark(struct gate_request *r)
+void gate_shard_wait_end(struct gate_request *r)
 {
-	g_ptr_array_remove(r->gate->parked, r);
-	r->state = GATE_WAITING;
-	r->parked_ms = clock_now_ms() - r->arrived_ms;
-	MEASURE(parked_ms, r->parked_ms);
+	g_ptr_array_remove(r->gate->shard_waiters, r);
+	r->state = GATE_QUEUED;
+	r->shard_wait_ms = clock_now_ms() - r->arrived_at_ms;
+	MEASURE(parked_ms, r->shard_wait_ms);
 }
 
-void gate_park_tick(struct gate *g, int64_t now_ms)
+void gate_shard_wait_tick(struct gate *g, int64_t now_ms)
 {
 	uint32_t i;
 
-	for (i = g->parked->len; i-- > 0;) {
+	for (i = g->shard_waiters->len; i-- > 0;) {
 		struct gate_request *r;
 		int64_t fence, end;
 
 		/* Refusing one may end others. */
-		if (i >= g->parked->len)
+		if (i >= g->shard_waiters->len)
 			continue;
-		r = g_ptr_array_index(g->parked, i);
+		r = g_ptr_array_index(g->shard_waiters, i);
 		if (gate_may_serve(r, &fence, &end)) {
-			gate_unpark(r);
+			gate_shard_wait_end(r);
 			gate_enqueue(r);
-		} else if (now_ms + WORK_MARGIN_MS >= r->deadline_ms ||
-			   g->draining || !on_its_way(r)) {
-			gate_unpark(r);
+		} else if (now_ms + SERVICE_MARGIN_MS >= r->deadline_ms ||
+			   g->draining || !shard_is_expected(r)) {
+			gate_shard_wait_end(r);
 			gate_refuse(r, RESULT_NOT_OWNER);
 		}
 	}
--- a/node/gate-stop.c
+++ b/node/gate-stop.c
@@ -6,13 +6,14 @@
 
 /* What a gate says of the requests that it holds before its process ends. */
 
-static bool has_begun(const struct gate_request *r)
+static bool has_started(const struct gate_request *r)
 {
 	return r->state == GATE_RUNNING && r->fetch.sent;
 }
 
 /* Any request that may be refused, NULL when there is none. */
-static struct gate_request *find_unbegun(const struct gate *g, bool running_too)
+static struct gate_request *find_not_started(const struct gate *g,
+					     bool include_handed_over)
 {
 	GHashTableIter it;
 	gpointer key;
@@ -21,41 +22,42 @@
 	while (g_hash_table_iter_next(&it, &key, NULL)) {
 		struct gate_request *r = key;
 
-		if (!has_begun(r) && (running_too || r->state != GATE_RUNNING))
+		if (!has_started(r) &&
+		    (include_handed_over || r->state != GATE_RUNNING))
 			return r;
 	}
 	return NULL;
 }
 
 /* Refusing one to our own entry may bring or end others. */
-static void refuse_unbegun(struct gate *g, bool running_too)
+static void refuse_not_started(struct gate *g, bool include_handed_over)
 {
 	struct gate_request *r;
 
-	while ((r = find_unbegun(g, running_too))) {
-		gate_take_out(r);
+	while ((r = find_not_started(g, include_handed_over))) {
+		gate_detach(r);
 		gate_refuse(r, RESULT_NOT_OWNER);
 	}
 }
 
-void gate_stop_taking(struct gate *g)
+void gate_drain(struct gate *g)
 {
 	if (g->draining)
 		return;
 	g->draining = true;
-	refuse_unbegun(g, false);
+	refuse_not_started(g, false);
 }
 
 /* Links are closed after as long without use. */
-#define KNOWN_MS 30000
+#define LINK_IDLE_TIMEOUT_MS 30000
 
-static void say_ending(struct gate *g, GBytes *identity)
+static void send_stopping(struct gate *g, GBytes *identity)
 {
 	struct request_msg m = { .type = REQ_ENDING,
 				 .to = g->node->member.self_id,
 				 .key = g->node->settings.peer_address };
 
-	gate_emit(g, identity, &m);
+	gate_send(g, identity, &m);
 }
 
 /*
@@ -63,49 +65,50 @@
  * over it unread, and the other end drops what it has not read by then. So the
  * words are followed by one that has to be answered.
  */
-static void say_ending_to_all(struct gate *g)
+static void send_stopping_to_all(struct gate *g)
 {
 	int64_t now = clock_now_ms();
 	GHashTableIter it;
 	gpointer key, value;
 
-	g->ending = true;
+	g->stopping = true;
 	g_hash_table_iter_init(&it, g->entries);
 	while (g_hash_table_iter_next(&it, &key, &value))
-		if (now - ((struct gate_entry *)value)->heard_ms < KNOWN_MS)
-			say_ending(g, key);
+		if (now - ((struct gate_entry *)value)->last_request_at_ms <
+		    LINK_IDLE_TIMEOUT_MS)
+			send_stopping(g, key);
 }
 
-void gate_on_heard(struct gate *g, const void *identity, size_t len)
+void gate_on_stopping_ack(struct gate *g, const void *identity, size_t len)
 {
 	GBytes *key = identity ? g_bytes_new(identity, len) : NULL;
 	struct gate_entry *e = key ? g_hash_table_lookup(g->entries, key)
 				   : NULL;
 
-	if (e && e->answered_since) {
+	if (e && e->sent_after_stopping) {
 		/* To requests that were on their way to us. */
-		e->answered_since = false;
-		say_ending(g, key);
+		e->sent_after_stopping = false;
+		send_stopping(g, key);
 	} else if (e) {
-		e->unheard = false;
+		e->stopping_ack_pending = false;
 	}
 	if (key)
 		g_bytes_unref(key);
 }
 
-bool gate_was_heard(const struct gate *g)
+bool gate_stopping_is_acked(const struct gate *g)
 {
 	GHashTableIter it;
 	gpointer value;
 
 	g_hash_table_iter_init(&it, g->entries);
 	while (g_hash_table_iter_next(&it, NULL, &value))
-		if (((struct gate_entry *)value)->unheard)
+		if (((struct gate_entry *)value)->stopping_ack_pending)
 			return false;
 	return true;
 }
 
-void gate_say_last(struct gate *g)
+void gate_stop(struct gate *g)
 {
 	GHashTableIter it;
 	gpointer key;
@@ -113,11 +116,11 @@
 	g->draining = true;
 	/* What has come and was not read yet is refused as well. */
 	peers_read(&g->node->peers);
-	refuse_unbegun(g, true);
+	refuse_not_started(g, true);
 	while (g_hash_table_iter_init(&it, g->requests),
 	       g_hash_table_iter_next(&it, &key, NULL)) {
-		gate_take_out(key);
+		gate_detach(key);
 		gate_fail(key, RESULT_CUT);
 	}
-	say_ending_to_all(g);
+	send_stopping_to_all(g);
 }
--- a/node/gate.c
+++ b/node/gate.c
@@ -14,33 +14,33 @@
 #define MAX_IDS 65536
 #define MAX_CONNECT_FAILURES 3
 #define NO_SHARD (-1)
-#define WATCH_S 0.003
+#define STALL_CHECK_S 0.003
 #define MAX_ORIGINS 4096
-#define MAX_TAKEN_BACK 1024
+#define MAX_EARLY_CANCELS 1024
 /*
  * What takes a request back comes the same way, and just as late: of one that
  * was on its way for longer than this the caller may long have left.
  */
-#define LATE_MS 400
+#define MAX_EXCESS_DELAY_MS 400
 /* The library's own thread needs some milliseconds for what waits in sockets. */
-#define HOLD_MS 30
+#define START_PAUSE_MS 30
 /*
  * A request still waiting this long before its deadline is refused: later our
  * word that it did not run would come after its entry has given it up, and had
  * to say that it may have run.
  */
-#define WORD_MARGIN_MS 40
+#define REFUSAL_MARGIN_MS 40
 /* A look at the queue: most of that margin is for the word's way back. */
-#define EXPIRY_S 0.01
+#define EXPIRY_CHECK_S 0.01
 /*
  * Keys leave a data centre within about two heartbeats of 0.9 s; the platform's
  * bound on the last work there is 5 s.
  */
-#define OUT_LIMIT_MS 3500
+#define OUT_OF_SERVICE_LIMIT_MS 3500
 /* A server stops at the deadline that it was given; its word may yet come. */
 #define ANSWER_GRACE_MS 50
 
-const struct header_names *gate_names(const struct gate_request *r)
+const struct header_names *gate_header_names(const struct gate_request *r)
 {
 	return r->gate->node->settings.headers;
 }
@@ -65,7 +65,7 @@
 	struct gate *g = r->gate;
 
 	g_hash_table_remove(g->requests, r);
-	link_unreserve(&g->load.link, r->promised_bytes);
+	link_unreserve(&g->admission.link, r->reserved_bytes);
 	if (r->shard >= 0 && r->shard < g->n_shards)
 		g->shard_load[r->shard]--;
 	if (r->identity)
@@ -73,40 +73,40 @@
 	if (r->headers)
 		g_ptr_array_unref(r->headers);
 	g_byte_array_unref(r->body);
-	if (r->pending)
-		g_byte_array_unref(r->pending);
-	if (r->kept)
-		g_string_free(r->kept, TRUE);
-	g_free(r->text);
+	if (r->unsent_answer)
+		g_byte_array_unref(r->unsent_answer);
+	if (r->stored_answer)
+		g_string_free(r->stored_answer, TRUE);
+	g_free(r->strings);
 	g_free(r);
 }
 
-void gate_leave_link(struct gate_request *r)
+void gate_unreserve_link(struct gate_request *r)
 {
-	link_unreserve(&r->gate->load.link, r->promised_bytes);
-	r->promised_bytes = 0;
+	link_unreserve(&r->gate->admission.link, r->reserved_bytes);
+	r->reserved_bytes = 0;
 }
 
-void gate_take_out(struct gate_request *r)
+void gate_detach(struct gate_request *r)
 {
 	struct gate *g = r->gate;
 
 	switch (r->state) {
-	case GATE_WAITING:
-		queue_remove(&g->load.queue, r);
+	case GATE_QUEUED:
+		queue_remove(&g->admission.queue, r);
 		break;
-	case GATE_PARKED:
-		gate_unpark(r);
+	case GATE_SHARD_WAIT:
+		gate_shard_wait_end(r);
 		break;
-	case GATE_CUT:
-		gate_bring_back(r);
+	case GATE_LINK_WAIT:
+		gate_link_wait_end(r);
 		break;
-	case GATE_ASKED:
-		gate_end_confirm(r);
+	case GATE_CONFIRM_WAIT:
+		gate_confirm_end(r);
 		break;
 	case GATE_RUNNING:
 		fetch_cancel(&r->fetch);
-		admission_cancelled(&g->load);
+		admission_cancelled(&g->admission);
 		break;
 	}
 }
@@ -118,9 +118,9 @@
 	struct queued q;
 
 	(void)events;
-	while (queue_pop_expired(&g->load.queue, clock_now_ms(), &q))
+	while (queue_pop_expired(&g->admission.queue, clock_now_ms(), &q))
 		gate_refuse(q.request, RESULT_TIMEOUT);
-	if (!g->load.queue.heap->len)
+	if (!g->admission.queue.heap->len)
 		ev_timer_stop(loop, w);
 }
 
@@ -129,23 +129,23 @@
 {
 	memset(g, 0, sizeof(*g));
 	g->node = node;
-	g->version = -1;
+	g->configuration_version = -1;
 	g->requests = g_hash_table_new(request_hash, request_equal);
-	g->parked = g_ptr_array_new();
-	g->cut = g_ptr_array_new();
-	g->asked = g_ptr_array_new();
+	g->shard_waiters = g_ptr_array_new();
+	g->link_waiters = g_ptr_array_new();
+	g->confirm_waiters = g_ptr_array_new();
 	g->rand = g_rand_new();
 	g->entries = g_hash_table_new_full(g_bytes_hash, g_bytes_equal,
 					   (GDestroyNotify)g_bytes_unref,
 					   g_free);
-	ev_init(&g->expiry, on_expiry);
-	g->expiry.repeat = EXPIRY_S;
-	g->expiry.data = g;
-	ev_init(&g->watch, gate_on_watch);
-	g->watch.repeat = WATCH_S;
-	g->watch.data = g;
-	admission_init(&g->load, node->settings.limit, node->settings.link_mbps,
-		       clock_now_ms());
+	ev_init(&g->expiry_timer, on_expiry);
+	g->expiry_timer.repeat = EXPIRY_CHECK_S;
+	g->expiry_timer.data = g;
+	ev_init(&g->stall_timer, gate_on_stall_timer);
+	g->stall_timer.repeat = STALL_CHECK_S;
+	g->stall_timer.data = g;
+	admission_init(&g->admission, node->settings.limit,
+		       node->settings.link_mbps, clock_now_ms());
 	ids_init(&g->ids, MAX_IDS);
 	grants_init(&g->grants, node->settings.grants,
 		    clock_now_ms() + grants_prev_process_hold_ms(
@@ -154,7 +154,7 @@
 	balance_init(&g->balance);
 	g->class_indexes =
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
-	recent_init(&g->taken_back, MAX_TAKEN_BACK);
+	recent_init(&g->early_cancels, MAX_EARLY_CANCELS);
 	recent_init(&g->origins, MAX_ORIGINS);
 }
 
@@ -174,64 +174,64 @@
 	if (g->fetcher_ready)
 		fetcher_finish(&g->fetcher);
 	g_hash_table_unref(g->requests);
-	g_ptr_array_unref(g->parked);
-	g_ptr_array_unref(g->cut);
-	g_ptr_array_unref(g->asked);
-	admission_finish(&g->load);
+	g_ptr_array_unref(g->shard_waiters);
+	g_ptr_array_unref(g->link_waiters);
+	g_ptr_array_unref(g->confirm_waiters);
+	admission_finish(&g->admission);
 	ids_finish(&g->ids);
-	ev_timer_stop(g->node->loop, &g->watch);
-	ev_timer_stop(g->node->loop, &g->expiry);
+	ev_timer_stop(g->node->loop, &g->stall_timer);
+	ev_timer_stop(g->node->loop, &g->expiry_timer);
 	grants_finish(&g->grants);
 	balance_finish(&g->balance);
 	g_hash_table_unref(g->class_indexes);
 	recent_finish(&g->origins);
-	recent_finish(&g->taken_back);
+	recent_finish(&g->early_cancels);
 	g_hash_table_unref(g->entries);
 	g_free(g->shard_load);
 	g_rand_free(g->rand);
 }
 
-void gate_not_connected(struct gate *g, const struct fetch *f)
+void gate_connect_failed(struct gate *g, const struct fetch *f)
 {
 	g->connect_failures++;
 	g->connect_refusals += f->refused;
 }
 
-void gate_connected(struct gate *g)
+void gate_connect_succeeded(struct gate *g)
 {
 	g->connect_failures = 0;
 	g->connect_refusals = 0;
 }
 
-void gate_announce(struct gate *g, const struct backend_server *b)
+void gate_backend_announced(struct gate *g, const struct backend_server *b)
 {
 	bool again = g->backend_server.announced;
 
 	g->backend_server = *b;
 	g->backend_server.announced = true;
 	g->draining = false;
-	gate_connected(g);
-	g->heard_ms = clock_now_ms();
+	gate_connect_succeeded(g);
+	g->backend_alive_at_ms = clock_now_ms();
 	if (!g->fetcher_ready)
 		fetcher_init(&g->fetcher, g->node->loop, b->connections);
 	g->fetcher.max_idle_s = g->node->settings.kept_idle_s;
 	g->fetcher_ready = true;
 	/* A server that announces itself again has started again: cold. */
-	admission_reset(&g->load, g->node->settings.limit, b->slots,
+	admission_reset(&g->admission, g->node->settings.limit, b->slots,
 			clock_now_ms());
 	COUNT(gate_cold_starts);
 	EVENT(server_announced, NULL,
-	      "\"life\":\"%s\",\"slots\":%u,\"again\":%s", event_text(b->life),
-	      b->slots, again ? "true" : "false");
+	      "\"life\":\"%s\",\"slots\":%u,\"again\":%s",
+	      event_text(b->instance_id), b->slots, again ? "true" : "false");
 	g_info("backend server %s announced%s: %u slots, %u connections",
-	       b->life, again ? " again" : "", b->slots, b->connections);
+	       b->instance_id, again ? " again" : "", b->slots, b->connections);
 }
 
-void gate_leave(struct gate *g)
+void gate_backend_left(struct gate *g)
 {
 	g->backend_server.announced = false;
 	g_info("backend server leaves");
-	gate_stop_taking(g);
+	gate_drain(g);
 }
 
 uint32_t gate_shard_load(const struct gate *g, uint32_t shard)
@@ -239,21 +239,21 @@
 	return shard < g->n_shards ? g->shard_load[shard] : 0;
 }
 
-bool gate_idle(const struct gate *g)
+bool gate_is_idle(const struct gate *g)
 {
 	return !g_hash_table_size(g->requests);
 }
 
 /* Send to an entry, our own when identity is NULL. */
-void gate_emit(struct gate *g, GBytes *identity, struct request_msg *m)
+void gate_send(struct gate *g, GBytes *identity, struct request_msg *m)
 {
 	GByteArray *out;
 	gsize len;
 	const void *id;
 	int err;
 
-	m->load = admission_load(&g->load);
-	m->limit = (int64_t)g->load.limit.allowed;
+	m->load = admission_load(&g->admission);
+	m->limit = (int64_t)g->admission.limit.allowed;
 	if (!identity) {
 		entry_on_message(&g->node->entry, m);
 		return;
@@ -261,26 +261,26 @@
 	out = g_byte_array_sized_new(256 + m->len);
 	request_msg_encode(m, out);
 	id = g_bytes_get_data(identity, &len);
-	link_sent(&g->load.link, out->len, clock_now_ms());
+	link_sent(&g->admission.link, out->len, clock_now_ms());
 	err = peers_answer(&g->node->peers, id, len, PLANE_REQUEST, out->data,
 			   out->len);
 	if (err)
 		COUNT(gate_answers_lost);
 	g_byte_array_unref(out);
-	gate_note_said(g, identity, m->type == REQ_ENDING && !err);
+	gate_record_sent(g, identity, m->type == REQ_ENDING && !err);
 }
 
-void gate_emit_for(struct gate_request *r, struct request_msg *m)
+void gate_send_for(struct gate_request *r, struct request_msg *m)
 {
-	if (r->unwanted)
+	if (r->cancelled)
 		return;
 	m->origin = r->origin;
 	m->id = r->id;
-	gate_emit(r->gate, r->identity, m);
+	gate_send(r->gate, r->identity, m);
 }
 
-static void note_refused(const struct gate_request *r, int result,
-			 int64_t wait_ms)
+static void emit_refused_event(const struct gate_request *r, int result,
+			       int64_t wait_ms)
 {
 	const struct gate *g = r->gate;
 	const struct member_node *n = &g->node->member;
@@ -302,22 +302,25 @@
 		      ? "true"
 		      : "false",
 	      r->keyed && member_is_acquiring(n, r->shard) ? "true" : "false",
-	      member_lease_end_ms(n) - now, g->load.n_in_flight,
-	      g->load.queue.heap->len, g->load.limit.allowed,
-	      cold_start_is_active(&g->load.cold_start, now) ? "true" : "false",
-	      g->draining ? "true" : "false", r->shed ? "true" : "false",
-	      r->deadline_ms - now, wait_ms, r->sent_ms, r->arrived_ms);
+	      member_lease_end_ms(n) - now, g->admission.n_in_flight,
+	      g->admission.queue.heap->len, g->admission.limit.allowed,
+	      cold_start_is_active(&g->admission.cold_start, now) ? "true"
+								  : "false",
+	      g->draining ? "true" : "false",
+	      r->server_refused ? "true" : "false", r->deadline_ms - now,
+	      wait_ms, r->sent_at_ms, r->arrived_at_ms);
 }
 
 void gate_refuse(struct gate_request *r, int result)
 {
-	struct request_msg m = { .type = REQ_REFUSED,
-				 .number = result,
-				 .flags = r->shed ? REQ_FLAG_REACHED : 0,
-				 .wait_ms = admission_retry_after_ms(
-					 &r->gate->load,
-					 g_rand_double(r->gate->rand),
-					 clock_now_ms()) };
+	struct request_msg m = {
+		.type = REQ_REFUSED,
+		.number = result,
+		.flags = r->server_refused ? REQ_FLAG_REACHED : 0,
+		.wait_ms = admission_retry_after_ms(
+			&r->gate->admission, g_rand_double(r->gate->rand),
+			clock_now_ms())
+	};
 
 	if (result == RESULT_NOT_OWNER)
 		COUNT(gate_refused_not_owner);
@@ -325,10 +328,10 @@
 		COUNT(gate_refused_deadline);
 	else
 		COUNT(gate_refused_overload);
-	queue_count(&r->gate->load.queue, r->class_index, true);
-	note_refused(r, result, m.wait_ms);
-	MEASURE(in_vain_ms, clock_now_ms() - r->arrived_ms);
-	gate_emit_for(r, &m);
+	queue_count(&r->gate->admission.queue, r->class_index, true);
+	emit_refused_event(r, result, m.wait_ms);
+	MEASURE(in_vain_ms, clock_now_ms() - r->arrived_at_ms);
+	gate_send_for(r, &m);
 	gate_request_free(r);
 }
 
@@ -345,10 +348,11 @@
 	      ",\"left_ms\":%" PRId64 ",\"sent_ms\":%" PRId64
 	      ",\"arrived_ms\":%" PRId64,
 	      result_name(result), r->gate->node->member.self_id,
-	      r->started_us ? (clock_now_us() - r->started_us) / 1000 : -1,
-	      r->deadline_ms - clock_now_ms(), r->sent_ms, r->arrived_ms);
+	      r->started_at_us ? (clock_now_us() - r->started_at_us) / 1000
+			       : -1,
+	      r->deadline_ms - clock_now_ms(), r->sent_at_ms, r->arrived_at_ms);
 
-	gate_emit_for(r, &m);
+	gate_send_for(r, &m);
 	gate_request_free(r);
 }
 
@@ -358,10 +362,10 @@
  * nobody is there to take them; served on here, they would bring work to a data
  * centre that operators have emptied.
  */
-static bool out_for_good(const struct gate *g, int64_t now)
+static bool should_have_drained(const struct gate *g, int64_t now)
 {
-	return g->version >= 0 && !g->in_service &&
-	       now - g->out_since_ms >= OUT_LIMIT_MS;
+	return g->configuration_version >= 0 && !g->in_service &&
+	       now - g->out_of_service_since_ms >= OUT_OF_SERVICE_LIMIT_MS;
 }
 
 bool gate_may_serve(struct gate_request *r, int64_t *fence,
@@ -373,7 +377,7 @@
 
 	*fence = 0;
 	*lease_end_ms = INT64_MAX;
-	if (r->gate->draining || out_for_good(r->gate, now))
+	if (r->gate->draining || should_have_drained(r->gate, now))
 		return false;
 	if (!r->keyed)
 		return node_takes_work(node);
@@ -384,10 +388,10 @@
 	       grants_server_holds(&r->gate->grants, r->shard, *fence, now);
 }
 
-static void set_headers(struct gate_request *r, int64_t fence, int64_t left_ms,
-			int64_t grant_ms)
+static void set_backend_headers(struct gate_request *r, int64_t fence,
+				int64_t left_ms, int64_t grant_ms)
 {
-	const struct header_names *names = gate_names(r);
+	const struct header_names *names = gate_header_names(r);
 	const char *id = r->gate->backend_server.id;
 
 	header_set(r->headers, names->deadline_ms, NULL);
@@ -400,7 +404,7 @@
 	header_add_int(r->headers, names->grant_ms, grant_ms);
 }
 
-static void start(struct gate_request *r)
+static void start_request(struct gate_request *r)
 {
 	struct gate *g = r->gate;
 	int64_t now = clock_now_ms();
@@ -418,7 +422,7 @@
 	}
 	/* A lease that is renewed by heartbeats outlasts what we see of it. */
 	left_ms = r->deadline_ms - now;
-	if (now >= r->answer_by_ms)
+	if (now >= r->start_by_ms)
 		left_ms = 0;
 	if (!g->grants.ops)
 		left_ms = MIN(left_ms, lease_end_ms - now);
@@ -426,26 +430,26 @@
 		gate_refuse(r, RESULT_TIMEOUT);
 		return;
 	}
-	if (gate_set_aside(r) || gate_confirm(r))
+	if (gate_link_wait_begin(r) || gate_confirm_begin(r))
 		return;
-	if (r->seen_hash) {
-		if (!ids_begin(&g->ids, r->seen_hash, MAX(r->shard, 0),
+	if (r->id_hash) {
+		if (!ids_begin(&g->ids, r->id_hash, MAX(r->shard, 0),
 			       r->resend_window_ms, now)) {
 			gate_refuse(r, RESULT_OVERLOAD);
 			return;
 		}
-		r->kept = g_string_new(NULL);
+		r->stored_answer = g_string_new(NULL);
 	}
-	set_headers(r, fence, left_ms, lease_end_ms - now);
+	set_backend_headers(r, fence, left_ms, lease_end_ms - now);
 	url = g_strdup_printf("http://%s%s", g->node->settings.backend_server,
 			      r->url);
 	r->state = GATE_RUNNING;
-	r->started_us = clock_now_us();
-	r->pending = g_byte_array_new();
+	r->started_at_us = clock_now_us();
+	r->unsent_answer = g_byte_array_new();
 	XXH64_reset(&r->digest, 0);
-	admission_started(&g->load, now);
+	admission_started(&g->admission, now);
 	COUNT(gate_admitted);
-	MEASURE(queue_ms, now - r->arrived_ms);
+	MEASURE(queue_ms, now - r->arrived_at_ms);
 	if (r->traced)
 		EVENT(gate_started, r->attempt_id,
 		      "\"member\":%" PRId64
@@ -455,50 +459,50 @@
 		      ",\"running\":%u,\"left_ms\":%" PRId64
 		      ",\"sent_ms\":%" PRId64 ",\"arrived_ms\":%" PRId64,
 		      g->node->member.self_id, event_text(g->backend_server.id),
-		      r->keyed ? r->shard : -1, fence, now - r->arrived_ms,
-		      r->parked_ms, g->load.n_in_flight, left_ms, r->sent_ms,
-		      r->arrived_ms);
+		      r->keyed ? r->shard : -1, fence, now - r->arrived_at_ms,
+		      r->shard_wait_ms, g->admission.n_in_flight, left_ms,
+		      r->sent_at_ms, r->arrived_at_ms);
 	fetch_start(&r->fetch, &g->fetcher, r->method, url, r->headers,
 		    r->body->data, r->body->len, left_ms + ANSWER_GRACE_MS,
 		    false, &gate_fetch_ops, r);
 }
 
-void gate_pump(struct gate *g)
+void gate_start_queued(struct gate *g)
 {
 	struct queued q;
 
 	if (node_was_paused(g->node))
-		gate_hold(g, clock_now_ms());
-	if (clock_now_ms() < g->hold_until_ms)
+		gate_pause_starts(g, clock_now_ms());
+	if (clock_now_ms() < g->no_start_until_ms)
 		return;
 	while (g->backend_server.announced &&
-	       admission_next(&g->load, clock_now_ms(), &q))
-		start(q.request);
-	if (!ev_is_active(&g->watch) &&
-	    admission_needs_timer(&g->load, clock_now_ms()))
-		ev_timer_again(g->node->loop, &g->watch);
+	       admission_next(&g->admission, clock_now_ms(), &q))
+		start_request(q.request);
+	if (!ev_is_active(&g->stall_timer) &&
+	    admission_needs_timer(&g->admission, clock_now_ms()))
+		ev_timer_again(g->node->loop, &g->stall_timer);
 }
 
-void gate_hold(struct gate *g, int64_t now_ms)
+void gate_pause_starts(struct gate *g, int64_t now_ms)
 {
-	g->hold_until_ms = now_ms + HOLD_MS;
+	g->no_start_until_ms = now_ms + START_PAUSE_MS;
 }
 
-void gate_refill(struct gate *g)
+void gate_read_and_start(struct gate *g)
 {
 	/* What takes a request back may have come, and goes first. */
 	peers_read(&g->node->peers);
-	gate_pump(g);
+	gate_start_queued(g);
 }
 
 static void copy_strings(struct gate_request *r, const struct request_msg *m)
 {
 	uint32_t i;
 
-	r->text = g_malloc(strlen(m->method) + strlen(m->url) + strlen(m->key) +
-			   3);
-	r->method = strcpy(r->text, m->method);
-	r->url = strcpy(r->text + strlen(m->method) + 1, m->url);
+	r->strings = g_malloc(strlen(m->method) + strlen(m->url) +
+			      strlen(m->key) + 3);
+	r->method = strcpy(r->strings, m->method);
+	r->url = strcpy(r->strings + strlen(m->method) + 1, m->url);
 	r->key = strcpy((char *)r->url + strlen(m->url) + 1, m->key);
 	r->headers = headers_new();
 	for (i = 0; m->headers && i + 1 < m->headers->len; i += 2)
@@ -517,25 +521,26 @@
 	r->origin = m->origin;
 	r->id = m->id;
 	copy_strings(r, m);
-	r->attempt_id = header_find(r->headers, gate_names(r)->attempt_id);
+	r->attempt_id =
+		header_find(r->headers, gate_header_names(r)->attempt_id);
 	r->body = g_byte_array_new();
 	g_byte_array_append(r->body, m->data, m->len);
 	r->class_index = GPOINTER_TO_UINT(index) - 1;
 	r->repeatable = m->flags & REQ_FLAG_REPEATABLE;
-	r->first_sending = m->flags & REQ_FLAG_FIRST_SENDING;
+	r->is_first_send = m->flags & REQ_FLAG_FIRST_SENDING;
 	r->traced = m->flags & REQ_FLAG_TRACED;
-	r->sent_ms = m->sent_ms;
+	r->sent_at_ms = m->sent_ms;
 	r->resend_window_ms = m->resend_window_ms;
 	r->target_ms = m->target_ms;
 	r->priority = m->priority;
 	r->keyed = m->flags & REQ_FLAG_KEYED;
 	r->shard = r->keyed ? m->shard : NO_SHARD;
-	r->arrived_ms = clock_now_ms();
-	r->late_ms = gate_delay_ms(g, m);
-	r->wanted_ms = gate_knows_origin(g, m) ? r->arrived_ms : -1;
-	MEASURE(hop_ms, r->late_ms);
-	r->deadline_ms = r->arrived_ms + m->deadline_ms - r->late_ms;
-	r->answer_by_ms = r->deadline_ms - WORD_MARGIN_MS;
+	r->arrived_at_ms = clock_now_ms();
+	r->excess_delay_ms = gate_update_delay(g, m);
+	r->confirmed_at_ms = gate_delay_is_known(g, m) ? r->arrived_at_ms : -1;
+	MEASURE(hop_ms, r->excess_delay_ms);
+	r->deadline_ms = r->arrived_at_ms + m->deadline_ms - r->excess_delay_ms;
+	r->start_by_ms = r->deadline_ms - REFUSAL_MARGIN_MS;
 	if (r->shard >= 0 && r->shard < g->n_shards)
 		g->shard_load[r->shard]++;
 	else
@@ -549,31 +554,32 @@
 void gate_enqueue(struct gate_request *r)
 {
 	struct gate *g = r->gate;
-	struct queued q = { .due_ms = r->arrived_ms + r->target_ms,
-			    .deadline_ms = r->answer_by_ms,
+	struct queued q = { .due_ms = r->arrived_at_ms + r->target_ms,
+			    .deadline_ms = r->start_by_ms,
 			    .class_index = r->class_index,
 			    .remote = r->identity,
 			    .request = r };
 	struct queued *victim;
 
-	if (admission_offer(&g->load, &q, !r->keyed, r->arrived_ms, &victim)) {
+	if (admission_offer(&g->admission, &q, !r->keyed, r->arrived_at_ms,
+			    &victim)) {
 		gate_refuse(r, RESULT_OVERLOAD);
 		return;
 	}
-	if (!ev_is_active(&g->expiry))
-		ev_timer_again(g->node->loop, &g->expiry);
-	r->promised_bytes = admission_reserve_link(&g->load, &q);
+	if (!ev_is_active(&g->expiry_timer))
+		ev_timer_again(g->node->loop, &g->expiry_timer);
+	r->reserved_bytes = admission_reserve_link(&g->admission, &q);
 	if (victim) {
 		struct gate_request *v = victim->request;
 
 		g_free(victim);
 		gate_refuse(v, RESULT_OVERLOAD);
 	}
-	gate_pump(g);
+	gate_start_queued(g);
 }
 
-static void on_ask(struct gate *g, const void *identity, size_t len,
-		   const struct request_msg *m)
+static void handle_request(struct gate *g, const void *identity, size_t len,
+			   const struct request_msg *m)
 {
 	struct gate_request *r;
 	struct request_msg no = { .type = REQ_REFUSED,
@@ -588,21 +594,21 @@
 		GBytes *id = identity ? g_bytes_new(identity, len) : NULL;
 
 		COUNT(gate_refused_not_owner);
-		gate_emit(g, id, &no);
+		gate_send(g, id, &no);
 		if (id)
 			g_bytes_unref(id);
 		return;
 	}
-	gate_remember_entry(g, identity, len);
-	if (gate_was_taken_back(g, m))
+	gate_record_entry(g, identity, len);
+	if (gate_has_early_cancel(g, m))
 		return;
 	r = request_new(g, identity, len, m);
-	if (r->deadline_ms <= r->arrived_ms)
+	if (r->deadline_ms <= r->arrived_at_ms)
 		gate_refuse(r, RESULT_TIMEOUT);
-	else if (r->late_ms > LATE_MS)
+	else if (r->excess_delay_ms > MAX_EXCESS_DELAY_MS)
 		gate_refuse(r, RESULT_OVERLOAD);
 	else if (!gate_may_serve(r, &fence, &lease_end_ms)) {
-		if (!gate_park(r))
+		if (!gate_shard_wait_begin(r))
 			gate_refuse(r, RESULT_NOT_OWNER);
 	} else if (gate_check_id(r, m->class_name, m->idempotency_key))
 		gate_enqueue(r);
@@ -615,24 +621,24 @@
 	struct gate_request *r = g_hash_table_lookup(g->requests, &key);
 
 	if (m->type == REQ_HEARD) {
-		gate_on_heard(g, identity, len);
+		gate_on_stopping_ack(g, identity, len);
 		return;
 	}
 	if (m->type == REQ_ASK) {
 		if (!r)
-			on_ask(g, identity, len, m);
+			handle_request(g, identity, len, m);
 		return;
 	}
 	if (!r) {
 		if (m->type == REQ_CANCEL)
-			gate_note_taken_back(g, m);
+			gate_record_early_cancel(g, m);
 		return;
 	}
 	if (m->type == REQ_CANCEL) {
-		int64_t late_ms = gate_delay_ms(g, m);
+		int64_t excess_delay_ms = gate_update_delay(g, m);
 
-		MEASURE(cancel_ms, late_ms);
-		gate_take_back(r, late_ms);
+		MEASURE(cancel_ms, excess_delay_ms);
+		gate_cancel_request(r, excess_delay_ms);
 		return;
 	}
 	if (m->type == REQ_CONFIRMED) {
@@ -647,7 +653,7 @@
 	}
 }
 
-void gate_check_reached(struct gate *g)
+void gate_check_connect_failures(struct gate *g)
 {
 	if (g->connect_failures < MAX_CONNECT_FAILURES ||
 	    !g->backend_server.announced)
@@ -660,8 +666,8 @@
 	 */
 	if (g->connect_refusals >= MAX_CONNECT_FAILURES)
 		grants_server_stopped(&g->grants);
-	gate_connected(g);
-	gate_leave(g);
+	gate_connect_succeeded(g);
+	gate_backend_left(g);
 	node_backend_left(g->node);
 }
 
@@ -674,17 +680,17 @@
 	if (!g->fetcher_ready)
 		return;
 	gate_follow_configuration(g);
-	while (admission_pop_overtaken(&g->load, now, &q)) {
+	while (admission_pop_overtaken(&g->admission, now, &q)) {
 		COUNT(gate_refused_overtaken);
 		gate_refuse(q.request, RESULT_OVERLOAD);
 	}
-	gate_cut_tick(g, now);
+	gate_link_wait_tick(g, now);
 	gate_confirm_tick(g, now);
 	if (!g->backend_server.announced)
 		return;
-	gate_park_tick(g, now);
-	gate_give_away(g, now);
+	gate_shard_wait_tick(g, now);
+	gate_move_shards(g, now);
 	gate_probe(g, now);
-	gate_check_reached(g);
-	gate_refill(g);
+	gate_check_connect_failures(g);
+	gate_read_and_start(g);
 }
--- a/node/gate.h
+++ b/node/gate.h
@@ -26,14 +26,15 @@
 /* The process of an entry, by what it sends. */
 struct gate_origin {
 	struct delay delay;
-	bool known; /* a message of it is known to have come without delay */
+	bool delay_known; /* a message of it is known to have come without delay
+			   */
 };
 
 /* An entry at the other end of a link. */
 struct gate_entry {
-	int64_t heard_ms; /* it last asked for something */
-	bool unheard; /* the last words to it are on their way */
-	bool answered_since; /* and something was said after them */
+	int64_t last_request_at_ms; /* it last asked for something */
+	bool stopping_ack_pending; /* the last words to it are on their way */
+	bool sent_after_stopping; /* and something was said after them */
 };
 
 /* What the backend server said of itself. */
@@ -43,7 +44,7 @@
 	uint32_t connections;
 	int64_t probe_cost_ms;
 	/* Names one start of it, "" not told. */
-	char life[SERVER_INSTANCE_ID_MAX_LEN + 1];
+	char instance_id[SERVER_INSTANCE_ID_MAX_LEN + 1];
 	/* As requests name it, "" not at all. */
 	char id[SERVER_INSTANCE_ID_MAX_LEN + 1];
 };
@@ -53,14 +54,14 @@
 	struct fetcher fetcher;
 	bool fetcher_ready;
 	struct backend_server backend_server;
-	struct admission load;
+	struct admission admission;
 	struct grants grants;
 	struct balance balance;
 	struct ids ids;
 	GHashTable *requests; /* struct gate_request, by origin and id */
-	GPtrArray *parked; /* struct gate_request */
-	GPtrArray *cut; /* the same */
-	GPtrArray *asked; /* the same */
+	GPtrArray *shard_waiters; /* struct gate_request */
+	GPtrArray *link_waiters; /* the same */
+	GPtrArray *confirm_waiters; /* the same */
 	uint32_t *shard_load; /* in flight or waiting, per shard */
 	uint32_t n_shards;
 	bool draining;
@@ -68,24 +69,24 @@
 	 * When our data centre was taken out of service; 0 it is in, or it was
 	 * out already when this process first heard.
 	 */
-	int64_t out_since_ms;
+	int64_t out_of_service_since_ms;
 	bool in_service; /* by the newest configuration */
-	int64_t version; /* configuration that the queue follows */
+	int64_t configuration_version; /* configuration that the queue follows */
 	GHashTable *class_indexes; /* name -> index into its classes + 1 */
 	struct recent origins; /* entry -> struct gate_origin */
-	int64_t hold_until_ms;
-	struct recent taken_back; /* entry and id, of what has not come yet */
-	int64_t heard_ms; /* last sign of life of the backend server */
-	int64_t next_probe_ms;
+	int64_t no_start_until_ms;
+	struct recent early_cancels; /* entry and id, of what has not come yet */
+	int64_t backend_alive_at_ms; /* last sign of life of the backend server */
+	int64_t next_probe_at_ms;
 	uint32_t connect_failures; /* in a row */
 	uint32_t connect_refusals; /* of those, as nobody listens */
 	struct fetch probe;
 	bool probing;
-	ev_timer watch; /* runs while requests are in flight */
-	ev_timer expiry; /* runs while requests wait */
-	int64_t next_stall_note_ms;
+	ev_timer stall_timer; /* runs while requests are in flight */
+	ev_timer expiry_timer; /* runs while requests wait */
+	int64_t next_stall_notice_at_ms;
 	GHashTable *entries; /* GBytes identity -> struct gate_entry */
-	bool ending; /* the last words have been said */
+	bool stopping; /* the last words have been said */
 	GRand *rand;
 };
 
@@ -96,12 +97,12 @@
  * The backend server could not be reached, or another one was found at its
  * address; or it was reached. Several failures in a row show that it is gone.
  */
-void gate_not_connected(struct gate *g, const struct fetch *f);
-void gate_connected(struct gate *g);
+void gate_connect_failed(struct gate *g, const struct fetch *f);
+void gate_connect_succeeded(struct gate *g);
 
 /* The backend server came or left. */
-void gate_announce(struct gate *g, const struct backend_server *b);
-void gate_leave(struct gate *g);
+void gate_backend_announced(struct gate *g, const struct backend_server *b);
+void gate_backend_left(struct gate *g);
 
 /*
  * A message from an entry: over an inbound link, or from our own entry when
@@ -115,33 +116,33 @@
  * The process did not run for a while: begin nothing until what came meanwhile
  * had time to be read.
  */
-void gate_hold(struct gate *g, int64_t now_ms);
+void gate_pause_starts(struct gate *g, int64_t now_ms);
 
 /*
  * Take nothing any more. What has not begun is refused, as others may serve it;
  * what has begun goes on.
  */
-void gate_stop_taking(struct gate *g);
+void gate_drain(struct gate *g);
 
 /*
  * The process ends in a moment: say of all that is held what was begun and what
  * was not. Whoever is not told would have to wait, and then take it for begun.
  */
-void gate_say_last(struct gate *g);
+void gate_stop(struct gate *g);
 
 /* Whether all entries that are there have read what was said last. */
-bool gate_was_heard(const struct gate *g);
+bool gate_stopping_is_acked(const struct gate *g);
 
 /*
  * The process at a peer address is gone, and its callers with it: what it asked
  * for and has not begun is refused.
  */
-void gate_entry_gone(struct gate *g, const char *address);
+void gate_entry_stopped(struct gate *g, const char *address);
 
 /* Requests in flight or waiting on a shard, and over all. */
 /* Take over what changed in the configuration; cheap when nothing did. */
 void gate_follow_configuration(struct gate *g);
 uint32_t gate_shard_load(const struct gate *g, uint32_t shard);
-bool gate_idle(const struct gate *g);
+bool gate_is_idle(const struct gate *g);
 
 #endif
--- a/node/granter.c
+++ b/node/granter.c
@@ -80,7 +80,7 @@
 	if (f->unopened || (result && result != RESULT_TIMEOUT))
 		x->await_beat = true;
 	if (result == RESULT_UNREACHABLE && f->refused)
-		gate_not_connected(&x->node->gate, f);
+		gate_connect_failed(&x->node->gate, f);
 	if (outcome == GRANT_FENCED)
 		x->node->member.log_read_due = true;
 	count(g, &l->call, outcome);
--- a/node/node.c
+++ b/node/node.c
@@ -266,7 +266,7 @@
 	     !strcmp(ev->reason, FLEET_REASON_SERVER_RESTARTED)))
 		n->superseded = *ev->member;
 	if (ev->type == FLEET_MEMBER_REMOVED)
-		gate_entry_gone(&n->gate, ev->member->peer);
+		gate_entry_stopped(&n->gate, ev->member->peer);
 	if (ev->type == FLEET_MEMBER_JOINED) {
 		remember_address(n, ev->member->id, ev->member->peer);
 		note_superseded(n, ev->member);
@@ -392,12 +392,12 @@
 static void begin_ending(struct node *n, int64_t now)
 {
 	n->ending_ms = now;
-	gate_say_last(&n->gate);
+	gate_stop(&n->gate);
 }
 
 static void tick_ending(struct node *n, int64_t now)
 {
-	if (!gate_was_heard(&n->gate) && now - n->ending_ms < HEARD_MS)
+	if (!gate_stopping_is_acked(&n->gate) && now - n->ending_ms < HEARD_MS)
 		return;
 	ev_break(n->loop, EVBREAK_ALL);
 }
@@ -411,17 +411,17 @@
 	entry_drain(&n->entry);
 	/* Others can serve what needs no key; for a key there is only us. */
 	if (!n->gate.grants.n_shards || asked_ms >= NOTICE_MS)
-		gate_stop_taking(&n->gate);
+		gate_drain(&n->gate);
 	/* Callers are sent here until the platform has noticed. */
 	if (asked_ms < NOTICE_MS)
 		return;
 	entry_close(&n->entry);
 	answer_in_time(n, asked_ms);
-	idle = gate_idle(&n->gate) && entry_idle(&n->entry);
+	idle = gate_is_idle(&n->gate) && entry_idle(&n->entry);
 	if (!idle && !time_is_up(n, asked_ms))
 		return;
 	EVENT(stopped, NULL, "\"requests\":%u,\"running\":%u,\"ms\":%" PRId64,
-	      n->entry.requests->len, n->gate.load.n_in_flight, asked_ms);
+	      n->entry.requests->len, n->gate.admission.n_in_flight, asked_ms);
 	g_info("stopped, %s in progress", idle ? "nothing" : "something");
 	begin_ending(n, clock_now_ms());
 }
@@ -470,7 +470,7 @@
 	if (now - n->stopping_ms < notice_ms(n))
 		return;
 	entry_close(&n->entry);
-	if (!gate_idle(&n->gate) || !entry_idle(&n->entry))
+	if (!gate_is_idle(&n->gate) || !entry_idle(&n->entry))
 		return;
 	g_info("stopped, nothing in progress");
 	begin_ending(n, now);
@@ -514,12 +514,12 @@
 		return;
 	g_info("asked to stop: finishing what is in progress");
 	EVENT(stopping, NULL, "\"requests\":%u,\"running\":%u",
-	      n->entry.requests->len, n->gate.load.n_in_flight);
+	      n->entry.requests->len, n->gate.admission.n_in_flight);
 	n->stopping = true;
 	n->stopping_ms = clock_now_ms();
 	if (keeps_backend(n))
 		return;
-	gate_stop_taking(&n->gate);
+	gate_drain(&n->gate);
 	member_set_membership_wanted(&n->member, false, clock_now_ms());
 }
 
@@ -573,7 +573,7 @@
 	(void)events;
 	n->awake_us = clock_now_us();
 	if (n->asleep_us && n->awake_us - n->asleep_us > FROZEN_US)
-		gate_hold(&n->gate, n->awake_us / 1000);
+		gate_pause_starts(&n->gate, n->awake_us / 1000);
 }
 
 static void on_asleep(struct ev_loop *loop, ev_prepare *w, int events)
--- a/node/operator.c
+++ b/node/operator.c
@@ -126,10 +126,10 @@
 			"moves_unsettled_ms",
 			(json_int_t)unsettled_ms(&unsettled), "links",
 			peers_n_links(&n->peers), "in_flight",
-			n->gate.load.n_in_flight, "limit",
-			n->gate.load.limit.allowed, "members", members_json(n),
-			"data_centres", data_centres_json(n), "counters",
-			counters_json()));
+			n->gate.admission.n_in_flight, "limit",
+			n->gate.admission.limit.allowed, "members",
+			members_json(n), "data_centres", data_centres_json(n),
+			"counters", counters_json()));
 }
 
 static void get_metrics(struct node *n, struct httpd_request *r)
@@ -155,9 +155,10 @@
 		n->member.fleet.source_offset, n->member.published_source,
 		fleet_n_members(&n->member.fleet), held(n),
 		member_lease_end_ms(&n->member) > clock_now_ms(), unsettled.n,
-		unsettled_ms(&unsettled), n->gate.load.n_in_flight,
-		n->gate.load.queue.heap->len, n->gate.load.limit.allowed,
-		n->gate.load.limit.recent_ms * 1000);
+		unsettled_ms(&unsettled), n->gate.admission.n_in_flight,
+		n->gate.admission.queue.heap->len,
+		n->gate.admission.limit.allowed,
+		n->gate.admission.limit.recent_ms * 1000);
 	httpd_reply(r, 200, NULL, text->str, text->len);
 	g_string_free(text, TRUE);
 }
@@ -265,7 +266,7 @@
 	if (c.n_errors) {
 		reply_problem(r, 400, c.errors->str);
 	} else {
-		gate_announce(&n->gate, &b);
+		gate_backend_announced(&n->gate, &b);
 		node_backend_announced(n);
 		reply_json(r, 200, json_pack("{s:b}", "announced", 1));
 	}
@@ -275,7 +276,7 @@
 
 static void post_leave(struct node *n, struct httpd_request *r)
 {
-	gate_leave(&n->gate);
+	gate_backend_left(&n->gate);
 	node_backend_left(n);
 	reply_json(r, 200, json_pack("{s:b}", "leaving", 1));
 }
