--- a/node/gate-request.h
+++ b/node/gate-request.h
@@ -1,98 +1,116 @@
 #ifndef NODE_GATE_REQUEST_H
 #define NODE_GATE_REQUEST_H
 
-#define XXH_STATIC_LINKING_ONLY /* the state has a size */
+#define XXH_STATIC_LINKING_ONLY /* for XXH64_state_t as a member of a struct */
 #include <xxhash.h>
 
 #include "node/gate.h"
 
-/* A request at the gate, and what node/gate*.c share. */
+/* A request at the gate, and the functions that node/gate*.c share. */
 
 enum gate_state {
-	GATE_QUEUED, /* in the queue */
-	GATE_SHARD_WAIT, /* for a key that is on its way to us */
-	GATE_LINK_WAIT, /* set aside: nothing connects us to its entry */
-	GATE_CONFIRM_WAIT, /* set aside: its entry is asked whether it is wanted
-			    */
+	GATE_QUEUED,
+	GATE_SHARD_WAIT, /* until our server may serve its shard */
+	GATE_LINK_WAIT, /* until its entry is connected again */
+	GATE_CONFIRM_WAIT, /* until its entry confirms that it is wanted */
 	GATE_RUNNING, /* handed to the backend server */
 };
 
 struct gate_request {
 	struct gate *gate;
-	GBytes *identity; /* of the entry's link, NULL our own entry */
-	uint64_t origin;
+	GBytes *identity; /* of the entry's link; NULL: our own entry */
+	uint64_t origin; /* identifies the process of its entry */
 	uint64_t id;
 	enum gate_state state;
 	const char *method;
-	char *strings; /* method, url and key */
+	char *strings; /* allocation that holds method, url and key */
 	const char *url;
 	const char *key;
 	uint64_t id_hash; /* 0: no idempotency key */
 	GPtrArray *headers;
 	GByteArray *body;
-	uint32_t class_index; /* UINT32_MAX: not in our configuration */
-	const char *attempt_id; /* that the answer must echo, or NULL */
+	uint32_t class_index; /* UINT32_MAX: class not in our configuration */
+	const char *attempt_id; /* that the answer has to repeat, or NULL */
 	bool traced;
 	int64_t sent_at_ms; /* by the entry's clock */
-	int64_t excess_delay_ms; /* on its way, beyond the fastest */
-	int64_t confirmed_at_ms; /* its entry still wanted it then; -1 not known
-				  */
-	int64_t confirm_sent_at_ms; /* whether it does, last */
-	bool is_first_send; /* nobody sent this request's id before */
+	int64_t excess_delay_ms; /* transit time beyond the fastest message's */
+	/* Latest time at which its entry is known to have wanted it; -1: none. */
+	int64_t confirmed_at_ms;
+	int64_t confirm_sent_at_ms; /* the last REQ_CONFIRM */
+	bool is_first_send; /* its idempotency key was not sent before */
 	bool repeatable;
 	bool keyed;
 	int64_t shard;
 	int64_t arrived_at_ms;
-	int64_t shard_wait_ms; /* how long it was parked */
+	int64_t shard_wait_ms; /* time spent in GATE_SHARD_WAIT */
 	int64_t started_at_us;
 	int64_t deadline_ms;
-	int64_t start_by_ms; /* one not begun by then is refused */
+	int64_t start_by_ms; /* refused if not started by then */
 	int64_t resend_window_ms;
 	int64_t target_ms;
 	uint32_t priority;
 	struct fetch fetch;
-	double reserved_bytes; /* to our link, for its answer */
-	GByteArray *unsent_answer; /* answer not yet sent on */
+	double reserved_bytes; /* on our link, for its answer */
+	GByteArray *unsent_answer; /* received, not sent to the entry yet */
 	bool head_sent;
-	bool server_refused; /* the server says that it did not run it */
-	bool cancelled; /* taken back, and its server is not to be cut off */
-	int64_t answer_bytes;
-	int64_t uncredited;
-	XXH64_state_t digest;
-	GString *stored_answer; /* a short answer, for a repeated id */
+	bool server_refused; /* the backend server reports it as not run */
+	bool cancelled; /* by its entry; the backend server completes it */
+	int64_t answer_bytes; /* received so far */
+	int64_t uncredited; /* bytes sent that the entry has not taken yet */
+	XXH64_state_t digest; /* of the answer */
+	GString *stored_answer; /* short answers only, to be replayed */
 };
 
-/* Bytes of an answer on their way to an entry before it takes some. */
+/* Flow control: bytes of an answer sent to an entry that it has not taken. */
 #define GATE_WINDOW_BYTES (256 * 1024)
 
 /* node/gate.c */
 const struct header_names *gate_header_names(const struct gate_request *r);
+/* Frees a request that is in no queue or list and not in flight any more. */
 void gate_request_free(struct gate_request *r);
+/* Sends a message about a request to its entry, unless it was cancelled. */
 void gate_send_for(struct gate_request *r, struct request_msg *m);
-/* Its answer is not to be expected on our link; promised anew when queued. */
+/* Releases the link bytes of its answer; gate_enqueue() reserves them again. */
 void gate_unreserve_link(struct gate_request *r);
-/* Take a request from where it waits or runs, to be answered or freed. */
+/*
+ * Removes a request from its queue or list, or cancels it at the backend
+ * server. The caller then refuses, fails or frees it.
+ */
 void gate_detach(struct gate_request *r);
+/* Answers that a request may have run, with a RESULT_ code, and frees it. */
 void gate_fail(struct gate_request *r, int result);
 
 /* node/gate-entries.c */
 
-/* An entry asked for something over a link; nothing for our own, NULL. */
+/* Records a request from an entry; for our own entry, NULL, does nothing. */
 void gate_record_entry(struct gate *g, const void *identity, size_t len);
-/* Once a gate is ending, who is told anything is waited for. */
+/*
+ * While the gate stops, records that a message was sent to an entry. last: it
+ * is the stop notice, which the entry acknowledges.
+ */
 void gate_record_sent(struct gate *g, GBytes *identity, bool last);
-/* How long a message was on its way beyond the fastest of late. */
+/*
+ * Updates the delay estimate of a message's sender. Returns how many ms longer
+ * the message was in transit than the sender's fastest recent one.
+ */
 int64_t gate_update_delay(struct gate *g, const struct request_msg *m);
-/* The clock of a message's sender is known from here on; and whether it is. */
+/*
+ * Records that a message arrived without delay, so that the delays of later
+ * messages of its sender can be relied on.
+ */
 void gate_set_delay_known(struct gate *g, const struct request_msg *m);
+/* Whether that was recorded for a message's sender. */
 bool gate_delay_is_known(struct gate *g, const struct request_msg *m);
 
 /* node/gate-ids.c */
 
-/* Deal with an idempotency key; false when the request has been answered. */
+/*
+ * Looks up a request's idempotency key. Returns false when the request has been
+ * answered and freed, since the key is known or may have run elsewhere.
+ */
 bool gate_check_id(struct gate_request *r, const char *class_name,
 		   const char *id);
-/* Keep how a request with an id ended. */
+/* Records how a request with an idempotency key ended. */
 void gate_record_outcome(struct gate_request *r, int result);
 
 /* node/gate-answer.c */
@@ -100,65 +118,97 @@
 
 /* node/gate-cancel.c */
 
-/* The entry takes a request back; its word was excess_delay_ms on the way. */
+/*
+ * Cancels a request on behalf of its entry. excess_delay_ms: of the cancel
+ * message, for the event only.
+ */
 void gate_cancel_request(struct gate_request *r, int64_t excess_delay_ms);
-/* A cancel came before its request; and whether that was so. */
+/* Records a cancel that arrived before its request. */
 void gate_record_early_cancel(struct gate *g, const struct request_msg *m);
+/* Whether a cancel arrived before this request. */
 bool gate_has_early_cancel(const struct gate *g, const struct request_msg *m);
 
 /* node/gate-move.c */
+/* Moves shards to a less utilized member when the balance asks for it. */
 void gate_move_shards(struct gate *g, int64_t now);
 
 /* node/gate-shard-wait.c */
 
 /*
- * Keep a request for a shard that is ours by the log and that our server is
- * about to get. Returns false when that is not so, or there is no room.
+ * Makes a request wait for a shard that is ours by the log and that our server
+ * is about to be granted. Returns false when that is not so, or when too many
+ * requests wait already.
  */
 bool gate_shard_wait_begin(struct gate_request *r);
+/* Removes a request from the waiting ones; the caller queues or refuses it. */
 void gate_shard_wait_end(struct gate_request *r);
+/* Queues those that may be served by now; refuses those that wait in vain. */
 void gate_shard_wait_tick(struct gate *g, int64_t now_ms);
 
 /* node/gate-confirm.c */
 
 /*
- * Ask the entry of a request whether it is still wanted, where what takes it
- * back may have come and not been read. Returns false where it may be begun.
+ * Asks the entry of a request whether it still wants it, when a cancel may have
+ * arrived without being read yet, and makes the request wait for the answer.
+ * Returns false when it may be started at once.
  */
 bool gate_confirm_begin(struct gate_request *r);
-/* The entry says that it is. */
+/* The entry has confirmed the request: queues it again. */
 void gate_on_confirmed(struct gate_request *r, const struct request_msg *m);
+/* Removes a request from the waiting ones; the caller queues or refuses it. */
 void gate_confirm_end(struct gate_request *r);
+/* Repeats unanswered questions; refuses requests that are past their time. */
 void gate_confirm_tick(struct gate *g, int64_t now_ms);
 
 /* node/gate-link-wait.c */
 
-/* Keep a request that could not be answered now; false when it can be. */
+/*
+ * Makes a request wait while its entry is not connected. Returns false when its
+ * entry can be answered.
+ */
 bool gate_link_wait_begin(struct gate_request *r);
+/* Removes a request from the waiting ones; the caller queues or refuses it. */
 void gate_link_wait_end(struct gate_request *r);
+/*
+ * Queues requests whose entry is connected again. Refuses expired ones, and all
+ * of them when this node takes no work.
+ */
 void gate_link_wait_tick(struct gate *g, int64_t now_ms);
 
+/*
+ * Whether a request may be sent to the backend server now. Sets the fence of
+ * its shard and when our lease ends: 0 and INT64_MAX without a key.
+ */
 bool gate_may_serve(struct gate_request *r, int64_t *fence,
 		    int64_t *lease_end_ms);
+/* Queues a request or refuses it, and starts what may be started. */
 void gate_enqueue(struct gate_request *r);
+/* Answers that a request was not run, with a RESULT_ code, and frees it. */
 void gate_refuse(struct gate_request *r, int result);
 
-/* Leave when the backend server was not reached several times in a row. */
+/* Drains the gate when several connection attempts in a row have failed. */
 void gate_check_connect_failures(struct gate *g);
 
-/* Start what may be started. */
+/* Starts queued requests as far as admission allows. */
 void gate_start_queued(struct gate *g);
-/* The same when a slot has become free, after reading what came from entries. */
+/* The same, after reading messages from entries that have arrived. */
 void gate_read_and_start(struct gate *g);
+/* Sends a message to an entry: our own when identity is NULL. */
 void gate_send(struct gate *g, GBytes *identity, struct request_msg *m);
 
 /* node/gate-stop.c */
 
-/* An entry has read the last words to it. */
+/* An entry has acknowledged the stop notice. */
 void gate_on_stopping_ack(struct gate *g, const void *identity, size_t len);
 
-/* node/gate-health.c: stalls and signs of life of the backend server. */
+/* node/gate-health.c */
+
+/*
+ * Checks the age of the oldest request in flight, to detect a stall. Called
+ * while admission needs it.
+ */
 void gate_on_stall_timer(struct ev_loop *loop, ev_timer *w, int events);
+/* Probes the backend server when it has not answered for a while. */
 void gate_probe(struct gate *g, int64_t now_ms);
 
 #endif
--- a/node/gate.h
+++ b/node/gate.h
@@ -16,36 +16,39 @@
 #include "util/recent.h"
 
 /*
- * The only way to the backend server beside this node. It admits, queues or
- * refuses requests from entries, hands them over one by one within the limit,
- * and sends the answers back.
+ * The gate is the only path to the backend server of this node. It admits,
+ * queues or refuses requests from entries, sends them to the backend server
+ * within its concurrency limit, and returns the answers to the entries.
  */
 
 struct node;
 
-/* The process of an entry, by what it sends. */
+/* What is known of one process of an entry, by the messages it sends. */
 struct gate_origin {
 	struct delay delay;
-	bool delay_known; /* a message of it is known to have come without delay
-			   */
+	/* At least one message is known to have arrived without delay. */
+	bool delay_known;
 };
 
 /* An entry at the other end of a link. */
 struct gate_entry {
-	int64_t last_request_at_ms; /* it last asked for something */
-	bool stopping_ack_pending; /* the last words to it are on their way */
-	bool sent_after_stopping; /* and something was said after them */
+	int64_t last_request_at_ms;
+	bool stopping_ack_pending; /* stop notice sent, not acknowledged yet */
+	bool sent_after_stopping; /* other messages followed the notice */
 };
 
-/* What the backend server said of itself. */
+/* What the backend server announced. */
 struct backend_server {
 	bool announced;
 	uint32_t slots;
 	uint32_t connections;
 	int64_t probe_cost_ms;
-	/* Names one start of it, "" not told. */
+	/* Identifies one run of its process; "" if not announced. */
 	char instance_id[SERVER_INSTANCE_ID_MAX_LEN + 1];
-	/* As requests name it, "" not at all. */
+	/*
+	 * Sent with requests as the instance that they are meant for; "": the
+	 * header is left out.
+	 */
 	char id[SERVER_INSTANCE_ID_MAX_LEN + 1];
 };
 
@@ -59,34 +62,38 @@
 	struct balance balance;
 	struct ids ids;
 	GHashTable *requests; /* struct gate_request, by origin and id */
-	GPtrArray *shard_waiters; /* struct gate_request */
-	GPtrArray *link_waiters; /* the same */
-	GPtrArray *confirm_waiters; /* the same */
-	uint32_t *shard_load; /* in flight or waiting, per shard */
+	/* Requests in GATE_SHARD_WAIT, GATE_LINK_WAIT and GATE_CONFIRM_WAIT. */
+	GPtrArray *shard_waiters;
+	GPtrArray *link_waiters;
+	GPtrArray *confirm_waiters;
+	uint32_t *shard_load; /* requests held by the gate, per shard */
 	uint32_t n_shards;
 	bool draining;
 	/*
-	 * When our data centre was taken out of service; 0 it is in, or it was
-	 * out already when this process first heard.
+	 * When this process saw our data centre taken out of service; 0 if it
+	 * is in service, or was out of service in the first configuration that
+	 * this process saw.
 	 */
 	int64_t out_of_service_since_ms;
-	bool in_service; /* by the newest configuration */
-	int64_t configuration_version; /* configuration that the queue follows */
+	bool in_service; /* our data centre, by the newest configuration */
+	int64_t configuration_version; /* that was applied last; -1: none */
 	GHashTable *class_indexes; /* name -> index into its classes + 1 */
 	struct recent origins; /* entry -> struct gate_origin */
+	/* No queued request is started before, see gate_pause_starts(). */
 	int64_t no_start_until_ms;
-	struct recent early_cancels; /* entry and id, of what has not come yet */
-	int64_t backend_alive_at_ms; /* last sign of life of the backend server */
+	/* Cancels that arrived before their request, by origin and id. */
+	struct recent early_cancels;
+	int64_t backend_alive_at_ms; /* last answer or announcement */
 	int64_t next_probe_at_ms;
 	uint32_t connect_failures; /* in a row */
-	uint32_t connect_refusals; /* of those, as nobody listens */
+	uint32_t connect_refusals; /* of those, by a port without a listener */
 	struct fetch probe;
 	bool probing;
-	ev_timer stall_timer; /* runs while requests are in flight */
-	ev_timer expiry_timer; /* runs while requests wait */
+	ev_timer stall_timer; /* runs while admission needs it */
+	ev_timer expiry_timer; /* runs while requests are queued */
 	int64_t next_stall_notice_at_ms;
 	GHashTable *entries; /* GBytes identity -> struct gate_entry */
-	bool stopping; /* the last words have been said */
+	bool stopping; /* stop notices have been sent to the entries */
 	GRand *rand;
 };
 
@@ -94,55 +101,71 @@
 void gate_finish(struct gate *g);
 
 /*
- * The backend server could not be reached, or another one was found at its
- * address; or it was reached. Several failures in a row show that it is gone.
+ * Records that the backend server could not be reached, or that another server
+ * answered at its address. After several failures in a row the backend server
+ * counts as stopped.
  */
 void gate_connect_failed(struct gate *g, const struct fetch *f);
+
+/* Records that the backend server was reached: resets the failure counts. */
 void gate_connect_succeeded(struct gate *g);
 
-/* The backend server came or left. */
+/* The backend server announced itself: requests are admitted from now on. */
 void gate_backend_announced(struct gate *g, const struct backend_server *b);
+
+/* The backend server left or cannot be reached: drains the gate. */
 void gate_backend_left(struct gate *g);
 
 /*
- * A message from an entry: over an inbound link, or from our own entry when
- * identity is NULL.
+ * Handles a message from an entry: from the inbound link with this identity,
+ * or from the entry of this process when identity is NULL.
  */
 void gate_on_message(struct gate *g, const void *identity, size_t len,
 		     const struct request_msg *m);
+
+/*
+ * Does the periodic work: applies a changed configuration, refuses overtaken
+ * and expired requests, moves shards, probes the backend server.
+ */
 void gate_tick(struct gate *g);
 
 /*
- * The process did not run for a while: begin nothing until what came meanwhile
- * had time to be read.
+ * To be called when the process was suspended for a while. Starts no queued
+ * request until the messages that arrived meanwhile, among them cancels, had
+ * time to be read.
  */
 void gate_pause_starts(struct gate *g, int64_t now_ms);
 
 /*
- * Take nothing any more. What has not begun is refused, as others may serve it;
- * what has begun goes on.
+ * Admits no request from now on. Requests that wait are refused, so that other
+ * members can serve them; those handed to the backend server are completed.
  */
 void gate_drain(struct gate *g);
 
 /*
- * The process ends in a moment: say of all that is held what was begun and what
- * was not. Whoever is not told would have to wait, and then take it for begun.
+ * To be called just before the process ends. Refuses each request that the
+ * backend server has not got, fails each that it has, and sends the entries a
+ * stop notice. An entry without such an answer would have to wait, and then
+ * assume that its request was started.
  */
 void gate_stop(struct gate *g);
 
-/* Whether all entries that are there have read what was said last. */
+/* Whether all entries have acknowledged the stop notice sent to them. */
 bool gate_stopping_is_acked(const struct gate *g);
 
 /*
- * The process at a peer address is gone, and its callers with it: what it asked
- * for and has not begun is refused.
+ * The process at a peer address has ended, and the connections to its callers
+ * with it. Refuses its requests that are not with the backend server yet.
  */
 void gate_entry_stopped(struct gate *g, const char *address);
 
-/* Requests in flight or waiting on a shard, and over all. */
-/* Take over what changed in the configuration; cheap when nothing did. */
+/* Applies a changed configuration; cheap when nothing changed. */
 void gate_follow_configuration(struct gate *g);
+
+/* Number of requests that the gate holds for a shard, waiting or in flight. */
 uint32_t gate_shard_load(const struct gate *g, uint32_t shard);
+
+/* Whether the gate holds no request. */
 bool gate_is_idle(const struct gate *g);
 
 #endif
