--- a/node/gate-answer.c
+++ b/node/gate-answer.c
@@ -10,7 +10,7 @@
 #include "util/histogram.h"
 #include "util/result.h"
 
-/* What comes back from the backend server, and goes on to the entry. */
+/* Receives answers from the backend server and sends them to the entry. */
 
 #define BLOCK_BYTES (64 * 1024)
 #define STATUS_MISDIRECTED 421
@@ -34,7 +34,7 @@
 			char *name =
 				g_ptr_array_index(r->fetch.answer_headers, i);
 
-			/* Kept, to tell the length of a streamed answer. */
+			/* Kept: it gives the length of a streamed answer. */
 			if (header_is_hop_by_hop(name) &&
 			    g_ascii_strcasecmp(name, "Content-Length"))
 				continue;
@@ -63,10 +63,11 @@
 }
 
 /*
- * A server may send a second answer late, at the place where that of the next
- * request on the connection is due, or bytes that are none of its own. Passed
- * on, they would be another caller's answer: what is not marked as the answer
- * to this very sending is dropped with its connection.
+ * A faulty server may send a second answer to a request late, where the answer
+ * to the next request on the connection is expected, or bytes that belong to
+ * another answer. Forwarded, they would reach the wrong caller. An answer
+ * without the mark of this attempt is therefore dropped and its connection
+ * closed.
  */
 static bool check_head(struct fetch *f)
 {
@@ -100,7 +101,10 @@
 	r->gate->backend_alive_at_ms = clock_now_ms();
 	if (f->status != STATUS_MISDIRECTED)
 		gate_connect_succeeded(r->gate);
-	/* Another server than the one that was named says no more than that. */
+	/*
+	 * 421 comes from another server instance, or from one that does not
+	 * hold the shard. In both cases the request was not run.
+	 */
 	r->server_refused =
 		header_find(f->answer_headers, gate_header_names(r)->not_run) ||
 		f->status == STATUS_MISDIRECTED;
@@ -113,8 +117,9 @@
 	if (r->server_refused)
 		return true;
 	/*
-	 * An entry whose caller reads slowly must not make this process hold
-	 * the whole answer: beyond the window the backend server waits.
+	 * When the caller reads slowly, this process must not buffer the whole
+	 * answer: once the window is full, reading from the backend server
+	 * pauses.
 	 */
 	if (r->uncredited >= GATE_WINDOW_BYTES && !r->cancelled)
 		return false;
@@ -128,7 +133,7 @@
 	return true;
 }
 
-/* Our picture of what the server holds is wrong. */
+/* The server does not hold a shard that it was believed to hold. */
 static void handle_misdirected(const struct gate_request *r, int64_t now)
 {
 	struct grants *g = &r->gate->grants;
--- a/node/gate-cancel.c
+++ b/node/gate-cancel.c
@@ -8,7 +8,7 @@
 #include "util/event.h"
 #include "util/result.h"
 
-/* Requests that entries take back, or that are left of entries that are gone. */
+/* Requests that entries cancel, and those of entries that have ended. */
 
 static const char *state_name(enum gate_state state)
 {
@@ -26,9 +26,9 @@
 	struct gate *g = r->gate;
 
 	/*
-	 * Work that may not be repeated is worth its result even when its
-	 * caller has left: cut off halfway it helps nobody, and nobody may
-	 * send it again.
+	 * A request that must not be repeated is completed even after its
+	 * caller has left: aborted halfway, it would have no usable result and
+	 * could not be sent again.
 	 */
 	if (r->state == GATE_RUNNING && !r->repeatable && r->fetch.sent) {
 		r->cancelled = true;
@@ -55,8 +55,8 @@
 }
 
 /*
- * A link that was replaced can deliver a request after the new one has brought
- * what takes it back.
+ * After a link was replaced, the old link can deliver a request later than the
+ * new one delivers its cancel.
  */
 void gate_record_early_cancel(struct gate *g, const struct request_msg *m)
 {
--- a/node/gate-configure.c
+++ b/node/gate-configure.c
@@ -2,11 +2,11 @@
 #include "node/gate-request.h"
 #include "node/node.h"
 
-/* What a gate takes over from a configuration. */
+/* Applies a changed configuration to the gate. */
 
 #define MAX_REMOVED_CLASSES 1024
 
-/* known: this process has seen a configuration before. */
+/* known: a configuration was applied before by this process. */
 static void update_in_service(struct gate *g, bool known)
 {
 	const struct node *n = g->node;
@@ -20,7 +20,10 @@
 	g->in_service = in;
 }
 
-/* A class keeps its index, and so what was learned of it, by its name. */
+/*
+ * A class of the same name keeps its index, and with it the statistics that
+ * were collected for it.
+ */
 static void update_classes(struct gate *g, const struct configuration *cfg)
 {
 	struct queue *q = &g->admission.queue;
--- a/node/gate-confirm.c
+++ b/node/gate-confirm.c
@@ -5,13 +5,17 @@
 #include "util/result.h"
 
 /*
- * Requests of which it is not known whether they are still wanted. What takes
- * one back comes behind it: while this process did not run, or from an entry
- * whose clock it does not know yet, both may have come long ago. Which of them
- * is read first is chance, so the entry is asked.
+ * Requests of which it is not known whether their entry still wants them. A
+ * cancel is sent after its request. When this process was suspended, or when
+ * the delay of the entry's messages is not known yet, both may have arrived
+ * long ago, and the cancel may be read only after the request was started. The
+ * gate therefore asks the entry before it starts such a request.
  */
 
-/* An answer that took longer is as old as what it answers for. */
+/*
+ * A confirmation whose round trip took longer is ignored, as it may be as
+ * outdated as the request, and is asked for again.
+ */
 #define CONFIRM_ROUND_TRIP_MS 400
 
 static bool is_confirmed(const struct gate_request *r)
@@ -66,7 +70,7 @@
 	for (i = g->confirm_waiters->len; i-- > 0;) {
 		struct gate_request *r;
 
-		/* Refusing one may end others. */
+		/* Refusing a request may remove others from the list. */
 		if (i >= g->confirm_waiters->len)
 			continue;
 		r = g_ptr_array_index(g->confirm_waiters, i);
--- a/node/gate-entries.c
+++ b/node/gate-entries.c
@@ -1,7 +1,7 @@
 #include "net/clock.h"
 #include "node/gate-request.h"
 
-/* What a gate knows of the entries that ask it. */
+/* What the gate records of the entries that send it requests. */
 
 #define MAX_ENTRIES 2048
 
@@ -48,8 +48,8 @@
 }
 
 /*
- * A link can hold messages back for seconds and deliver them then, when their
- * callers have long been answered.
+ * A link can delay messages for seconds. When it delivers them, their callers
+ * may have been answered long before.
  */
 int64_t gate_update_delay(struct gate *g, const struct request_msg *m)
 {
--- a/node/gate-health.c
+++ b/node/gate-health.c
@@ -20,7 +20,10 @@
 	while (g_hash_table_iter_next(&it, &p, NULL)) {
 		const struct gate_request *r = p;
 
-		/* One whose head has come waits for its reader, not for us. */
+		/*
+		 * Once the head of its answer has arrived, a request may be
+		 * slow because its caller reads slowly: no sign of a stall.
+		 */
 		if (r->state == GATE_RUNNING && !r->fetch.head_done)
 			oldest = MIN(oldest, r->started_at_us);
 	}
@@ -28,8 +31,8 @@
 }
 
 /*
- * Tell the entries that lately sent work here. Each would otherwise find out
- * by losing a request or two of its own to the stall.
+ * Reports a stall to the entries that recently sent requests. Otherwise each of
+ * them would lose a request or two before it detects the stall itself.
  */
 static void send_stall_notices(struct gate *g, int64_t now)
 {
@@ -53,7 +56,6 @@
 	}
 }
 
-/* Look at the oldest request in flight; runs while admission needs it. */
 void gate_on_stall_timer(struct ev_loop *loop, ev_timer *w, int events)
 {
 	struct gate *g = w->data;
@@ -88,8 +90,8 @@
 static const struct fetch_ops probe_ops = { .on_done = on_probe_done };
 
 /*
- * Ask for a sign of life, but only of a server that gave none of late, and no
- * oftener than its cost allows: some take 6 ms for each probe.
+ * Probes the backend server only when it has not answered recently, and at
+ * intervals that keep the cost low: some servers spend 6 ms on each probe.
  */
 void gate_probe(struct gate *g, int64_t now)
 {
@@ -97,7 +99,7 @@
 						       PROBE_COST_FACTOR);
 	g_autofree char *url = NULL;
 
-	/* Heartbeats tell it without the server's work, where it sends them. */
+	/* Heartbeats, where sent, show that the server is alive at no cost. */
 	if (g->grants.ops)
 		return;
 	if (!g->connect_failures && now - g->backend_alive_at_ms < every)
--- a/node/gate-ids.c
+++ b/node/gate-ids.c
@@ -8,7 +8,7 @@
 #include "util/result.h"
 
 /*
- * Requests that carry the id of one sent before: at most one of them runs.
+ * Of all requests that carry the same idempotency key, at most one is run.
  */
 
 static void replay_answer(struct gate_request *r, const struct seen_id *e)
@@ -43,7 +43,10 @@
 	gate_request_free(r);
 }
 
-/* Whether an id not seen here may have run under an owner lost abruptly. */
+/*
+ * Whether a request with an id that is not recorded here may have run under a
+ * previous owner that was lost before it handed over its ids.
+ */
 static bool may_have_run(const struct gate_request *r, const char *id)
 {
 	const struct member_node *n = &r->gate->node->member;
@@ -58,8 +61,8 @@
 	if (unknown_for_ms > r->resend_window_ms)
 		return false;
 	/*
-	 * Made after the loss, on a clock that may be off by our bound, an id
-	 * cannot have reached the owner that was lost.
+	 * An id created after the loss cannot have reached the lost owner. The
+	 * caller's clock may be off by CALLER_CLOCK_BOUND_MS.
 	 */
 	created_ms = ids_created_ms(id);
 	if (created_ms < 0)
@@ -68,7 +71,6 @@
 				    CALLER_CLOCK_BOUND_MS;
 }
 
-/* Deal with an idempotency key; false when the request has been answered. */
 bool gate_check_id(struct gate_request *r, const char *class_name,
 		   const char *id)
 {
--- a/node/gate-link-wait.c
+++ b/node/gate-link-wait.c
@@ -8,12 +8,12 @@
 #include "util/result.h"
 
 /*
- * Requests whose turn has come while nothing connects us to their entry. Begun
- * now, they would be worked on for nobody if it was killed. Where only the
- * connection broke, it is back within a second.
+ * Requests that are due to be started while there is no connection to their
+ * entry. If the entry was killed, the backend server would work on them in
+ * vain. If only the connection broke, it is restored within a second.
  */
 
-/* A request that has come so lately is word of its entry itself. */
+/* A request that arrived within this time shows that its entry is alive. */
 #define RECENT_REQUEST_MS 20
 
 static bool entry_is_connected(const struct gate_request *r)
@@ -56,7 +56,7 @@
 	for (i = g->link_waiters->len; i-- > 0;) {
 		struct gate_request *r;
 
-		/* Refusing one may end others. */
+		/* Refusing a request may remove others from the list. */
 		if (i >= g->link_waiters->len)
 			continue;
 		r = g_ptr_array_index(g->link_waiters, i);
--- a/node/gate-move.c
+++ b/node/gate-move.c
@@ -6,9 +6,9 @@
 #include "node/node.h"
 #include "util/event.h"
 
-/* Ranges of keys that leave for a server with more room. */
+/* Moves shards to a member whose backend server is less utilized. */
 
-/* What another server's use was longer ago says nothing of now. */
+/* Older utilization figures of other members are not used. */
 #define UTILIZATION_MAX_AGE_MS 2000
 
 static bool can_move_shard(void *user, uint32_t shard)
@@ -16,7 +16,7 @@
 	return member_can_move_shard(user, shard);
 }
 
-/* The others of our service that take work and were heard of late. */
+/* Other members of our service that take work and answered recently. */
 static GArray *list_move_candidates(const struct gate *g, int64_t now)
 {
 	const struct member_node *n = &g->node->member;
@@ -42,7 +42,6 @@
 	return list;
 }
 
-/* Give some of our keys to a server that has more room for them. */
 void gate_move_shards(struct gate *g, int64_t now)
 {
 	struct member_node *n = &g->node->member;
--- a/node/gate-shard-wait.c
+++ b/node/gate-shard-wait.c
@@ -6,14 +6,14 @@
 #include "util/result.h"
 
 /*
- * Requests for keys in motion. A key that moves is let go by one server and
- * taken up by the next within two heartbeats; refused in between, its callers
- * would all come back later than that.
+ * Requests for a shard that is being moved to this member. One server releases
+ * the shard and the next is granted it within two heartbeats. Refused in
+ * between, all callers of the shard would retry later than that.
  */
 
-/* As many as the queue behind the server takes in a moment. */
+/* As many as the backend server's queue takes in a short time. */
 #define WAITERS_PER_SLOT 4
-/* Time that the server needs besides. */
+/* Time before the deadline that the backend server needs for the request. */
 #define SERVICE_MARGIN_MS 100
 
 static bool shard_is_expected(const struct gate_request *r)
@@ -21,7 +21,10 @@
 	const struct member_node *n = &r->gate->node->member;
 	int64_t fence, end;
 
-	/* Only another row's end makes room, and nobody knows when. */
+	/*
+	 * The answer to the server has room for this shard only when another
+	 * grant ends, and it is not known when that will be.
+	 */
 	if (grants_waiting_for_room(&r->gate->grants, r->shard))
 		return false;
 	return member_is_acquiring(n, r->shard) ||
@@ -58,7 +61,7 @@
 		struct gate_request *r;
 		int64_t fence, end;
 
-		/* Refusing one may end others. */
+		/* Refusing a request may remove others from the list. */
 		if (i >= g->shard_waiters->len)
 			continue;
 		r = g_ptr_array_index(g->shard_waiters, i);
--- a/node/gate-stop.c
+++ b/node/gate-stop.c
@@ -4,14 +4,17 @@
 #include "node/node.h"
 #include "util/result.h"
 
-/* What a gate says of the requests that it holds before its process ends. */
+/* Ends the requests at the gate before the process ends. */
 
 static bool has_started(const struct gate_request *r)
 {
 	return r->state == GATE_RUNNING && r->fetch.sent;
 }
 
-/* Any request that may be refused, NULL when there is none. */
+/*
+ * Returns a request that can be refused since the backend server has not got
+ * it, or NULL. include_handed_over: also one that is handed over, but not sent.
+ */
 static struct gate_request *find_not_started(const struct gate *g,
 					     bool include_handed_over)
 {
@@ -29,7 +32,10 @@
 	return NULL;
 }
 
-/* Refusing one to our own entry may bring or end others. */
+/*
+ * Refusing a request of our own entry may add or remove others, so that each
+ * search starts from the beginning.
+ */
 static void refuse_not_started(struct gate *g, bool include_handed_over)
 {
 	struct gate_request *r;
@@ -48,7 +54,7 @@
 	refuse_not_started(g, false);
 }
 
-/* Links are closed after as long without use. */
+/* Idle links are closed after this time. */
 #define LINK_IDLE_TIMEOUT_MS 30000
 
 static void send_stopping(struct gate *g, GBytes *identity)
@@ -61,9 +67,9 @@
 }
 
 /*
- * Closed right after the last words, a connection is reset for what has come
- * over it unread, and the other end drops what it has not read by then. So the
- * words are followed by one that has to be answered.
+ * If a connection is closed while received data is unread, the kernel resets
+ * it, and the other end loses what it has not read yet, such as the last
+ * answers. A stop notice, which entries acknowledge, therefore follows them.
  */
 static void send_stopping_to_all(struct gate *g)
 {
@@ -86,7 +92,10 @@
 				   : NULL;
 
 	if (e && e->sent_after_stopping) {
-		/* To requests that were on their way to us. */
+		/*
+		 * Requests that were in transit were answered after the
+		 * stop notice. These answers need an acknowledgement too.
+		 */
 		e->sent_after_stopping = false;
 		send_stopping(g, key);
 	} else if (e) {
@@ -114,7 +123,7 @@
 	gpointer key;
 
 	g->draining = true;
-	/* What has come and was not read yet is refused as well. */
+	/* Requests that have arrived but were not read yet are refused too. */
 	peers_read(&g->node->peers);
 	refuse_not_started(g, true);
 	while (g_hash_table_iter_init(&it, g->requests),
--- a/node/gate.c
+++ b/node/gate.c
@@ -18,26 +18,29 @@
 #define MAX_ORIGINS 4096
 #define MAX_EARLY_CANCELS 1024
 /*
- * What takes a request back comes the same way, and just as late: of one that
- * was on its way for longer than this the caller may long have left.
+ * A request delayed by more than this is refused: its caller may have left long
+ * before, and a cancel would arrive with the same delay.
  */
 #define MAX_EXCESS_DELAY_MS 400
-/* The library's own thread needs some milliseconds for what waits in sockets. */
+/*
+ * ZeroMQ's I/O thread needs some milliseconds to read the messages that wait in
+ * the sockets.
+ */
 #define START_PAUSE_MS 30
 /*
- * A request still waiting this long before its deadline is refused: later our
- * word that it did not run would come after its entry has given it up, and had
- * to say that it may have run.
+ * A request that is still queued this long before its deadline is refused. A
+ * later refusal would reach the entry after the entry had given up the request
+ * and reported that it may have run.
  */
 #define REFUSAL_MARGIN_MS 40
-/* A look at the queue: most of that margin is for the word's way back. */
+/* A small part of REFUSAL_MARGIN_MS: the rest is for the refusal's transit. */
 #define EXPIRY_CHECK_S 0.01
 /*
- * Keys leave a data centre within about two heartbeats of 0.9 s; the platform's
- * bound on the last work there is 5 s.
+ * Shards leave a data centre that is out of service within about two heartbeats
+ * of 0.9 s. The platform requires that work there ends within 5 s.
  */
 #define OUT_OF_SERVICE_LIMIT_MS 3500
-/* A server stops at the deadline that it was given; its word may yet come. */
+/* A server stops at its deadline; its answer may arrive this much later. */
 #define ANSWER_GRACE_MS 50
 
 const struct header_names *gate_header_names(const struct gate_request *r)
@@ -111,7 +114,7 @@
 	}
 }
 
-/* Those that wait and whose time is almost over get their word. */
+/* Refuses queued requests that cannot be started in time any more. */
 static void on_expiry(struct ev_loop *loop, ev_timer *w, int events)
 {
 	struct gate *g = w->data;
@@ -124,7 +127,7 @@
 		ev_timer_stop(loop, w);
 }
 
-/* Set up a gate whose backend server has not announced itself yet. */
+/* Initializes a gate whose backend server has not announced itself yet. */
 void gate_init(struct gate *g, struct node *node)
 {
 	memset(g, 0, sizeof(*g));
@@ -158,7 +161,7 @@
 	recent_init(&g->origins, MAX_ORIGINS);
 }
 
-/* Release; requests still here are dropped without an answer. */
+/* Frees the gate's resources; remaining requests are dropped unanswered. */
 void gate_finish(struct gate *g)
 {
 	GList *all = g_hash_table_get_keys(g->requests);
@@ -216,7 +219,7 @@
 		fetcher_init(&g->fetcher, g->node->loop, b->connections);
 	g->fetcher.max_idle_s = g->node->settings.kept_idle_s;
 	g->fetcher_ready = true;
-	/* A server that announces itself again has started again: cold. */
+	/* A server that announces itself again was restarted: start cold. */
 	admission_reset(&g->admission, g->node->settings.limit, b->slots,
 			clock_now_ms());
 	COUNT(gate_cold_starts);
@@ -244,7 +247,6 @@
 	return !g_hash_table_size(g->requests);
 }
 
-/* Send to an entry, our own when identity is NULL. */
 void gate_send(struct gate *g, GBytes *identity, struct request_msg *m)
 {
 	GByteArray *out;
@@ -357,10 +359,10 @@
 }
 
 /*
- * Whether our data centre has been out of service for so long that its keys
- * should have moved. They may not have, when earlier moves are not settled or
- * nobody is there to take them; served on here, they would bring work to a data
- * centre that operators have emptied.
+ * Whether our data centre has been out of service for so long that its shards
+ * should have moved. They stay when earlier moves are not settled or no other
+ * member can take them. Serving them here would bring work to a data centre
+ * that operators have emptied.
  */
 static bool should_have_drained(const struct gate *g, int64_t now)
 {
@@ -383,7 +385,7 @@
 		return node_takes_work(node);
 	if (member_may_serve(&node->member, r->shard, now, fence, lease_end_ms))
 		return false;
-	/* Sent before it holds the key, the server would turn it away. */
+	/* The server would refuse a request for a shard not granted to it yet. */
 	return !r->gate->grants.ops ||
 	       grants_server_holds(&r->gate->grants, r->shard, *fence, now);
 }
@@ -420,7 +422,10 @@
 		gate_refuse(r, RESULT_NOT_OWNER);
 		return;
 	}
-	/* A lease that is renewed by heartbeats outlasts what we see of it. */
+	/*
+	 * Where a server gets its grants renewed by heartbeats, it may hold
+	 * the shard beyond the lease end that is known now.
+	 */
 	left_ms = r->deadline_ms - now;
 	if (now >= r->start_by_ms)
 		left_ms = 0;
@@ -490,7 +495,7 @@
 
 void gate_read_and_start(struct gate *g)
 {
-	/* What takes a request back may have come, and goes first. */
+	/* Cancels that have arrived are handled before requests are started. */
 	peers_read(&g->node->peers);
 	gate_start_queued(g);
 }
@@ -658,11 +663,12 @@
 	if (g->connect_failures < MAX_CONNECT_FAILURES ||
 	    !g->backend_server.announced)
 		return;
-	g_warning("backend server is not at its address");
+	g_warning(
+		"backend server not reached several times in a row; draining");
 	/*
-	 * Nobody listens there any more: it has ended, and what it held need
-	 * not be waited for. A server that is full or cannot be reached may
-	 * still be at work.
+	 * Refused connections show that no process listens there: the server
+	 * has stopped, and its grants need not be waited for. A server that is
+	 * full or unreachable may still be working.
 	 */
 	if (g->connect_refusals >= MAX_CONNECT_FAILURES)
 		grants_server_stopped(&g->grants);
@@ -671,7 +677,6 @@
 	node_backend_left(g->node);
 }
 
-/* Timed duties: probes, overtaken requests, the backend server gone. */
 void gate_tick(struct gate *g)
 {
 	int64_t now = clock_now_ms();
