--- a/node/backend.c
+++ b/node/backend.c
@@ -146,7 +146,7 @@
 		goto out;
 	}
 	follow_state(n, &a, news);
-	gate_follow_configuration(&n->gate);
+	gate_apply_configuration(&n->gate);
 	if (n->gate.grants.ops == &grant_by_call) {
 		reply_json(r, 200, "{}");
 		granter_on_beat(&n->granter);
--- a/node/gate-cancel.c
+++ b/node/gate-cancel.c
@@ -13,9 +13,9 @@
 static const char *state_name(enum gate_state state)
 {
 	static const char *const names[] = {
-		[GATE_QUEUED] = "waiting",  [GATE_SHARD_WAIT] = "parked",
-		[GATE_LINK_WAIT] = "cut",   [GATE_CONFIRM_WAIT] = "asked",
-		[GATE_RUNNING] = "running",
+		[GATE_QUEUED] = "waiting",    [GATE_SHARD_WAIT] = "parked",
+		[GATE_LINK_WAIT] = "cut",     [GATE_CONFIRM_WAIT] = "asked",
+		[GATE_IN_FLIGHT] = "running",
 	};
 
 	return names[state];
@@ -30,7 +30,7 @@
 	 * caller has left: aborted halfway, it would have no usable result and
 	 * could not be sent again.
 	 */
-	if (r->state == GATE_RUNNING && !r->repeatable && r->fetch.sent) {
+	if (r->state == GATE_IN_FLIGHT && !r->repeatable && r->fetch.sent) {
 		r->cancelled = true;
 		gate_unreserve_link(r);
 		fetch_resume(&r->fetch);
@@ -45,9 +45,9 @@
 	      r->repeatable ? "true" : "false",
 	      clock_now_ms() - r->arrived_at_ms, excess_delay_ms, r->sent_at_ms,
 	      r->arrived_at_ms);
-	if (r->state == GATE_RUNNING && r->id_hash && !r->fetch.sent)
+	if (r->state == GATE_IN_FLIGHT && r->id_hash && !r->fetch.sent)
 		ids_forget(&g->ids, r->id_hash);
-	else if (r->state == GATE_RUNNING && r->id_hash)
+	else if (r->state == GATE_IN_FLIGHT && r->id_hash)
 		ids_end(&g->ids, r->id_hash, SEEN_UNKNOWN, 0, NULL, NULL, 0);
 	gate_detach(r);
 	gate_request_free(r);
@@ -91,7 +91,7 @@
 	for (l = all; l; l = l->next) {
 		struct gate_request *r = l->data;
 
-		if (r->state == GATE_RUNNING || !is_from_address(r, address))
+		if (r->state == GATE_IN_FLIGHT || !is_from_address(r, address))
 			continue;
 		gate_detach(r);
 		gate_refuse(r, RESULT_UNREACHABLE);
--- a/node/gate-configure.c
+++ b/node/gate-configure.c
@@ -49,7 +49,7 @@
 	}
 }
 
-void gate_follow_configuration(struct gate *g)
+void gate_apply_configuration(struct gate *g)
 {
 	const struct fleet *f = &g->node->member.fleet;
 	const struct service_settings *ss;
--- a/node/gate-health.c
+++ b/node/gate-health.c
@@ -24,7 +24,7 @@
 		 * Once the head of its answer has arrived, a request may be
 		 * slow because its caller reads slowly: no sign of a stall.
 		 */
-		if (r->state == GATE_RUNNING && !r->fetch.head_done)
+		if (r->state == GATE_IN_FLIGHT && !r->fetch.head_done)
 			oldest = MIN(oldest, r->started_at_us);
 	}
 	return (now_us - oldest) / 1000;
--- a/node/gate-request.h
+++ b/node/gate-request.h
@@ -13,7 +13,7 @@
 	GATE_SHARD_WAIT, /* until our server may serve its shard */
 	GATE_LINK_WAIT, /* until its entry is connected again */
 	GATE_CONFIRM_WAIT, /* until its entry confirms that it is wanted */
-	GATE_RUNNING, /* handed to the backend server */
+	GATE_IN_FLIGHT, /* handed to the backend server */
 };
 
 struct gate_request {
--- a/node/gate-stop.c
+++ b/node/gate-stop.c
@@ -8,7 +8,7 @@
 
 static bool has_started(const struct gate_request *r)
 {
-	return r->state == GATE_RUNNING && r->fetch.sent;
+	return r->state == GATE_IN_FLIGHT && r->fetch.sent;
 }
 
 /*
@@ -26,7 +26,7 @@
 		struct gate_request *r = key;
 
 		if (!has_started(r) &&
-		    (include_handed_over || r->state != GATE_RUNNING))
+		    (include_handed_over || r->state != GATE_IN_FLIGHT))
 			return r;
 	}
 	return NULL;
--- a/node/gate.c
+++ b/node/gate.c
@@ -107,7 +107,7 @@
 	case GATE_CONFIRM_WAIT:
 		gate_confirm_end(r);
 		break;
-	case GATE_RUNNING:
+	case GATE_IN_FLIGHT:
 		fetch_cancel(&r->fetch);
 		admission_cancelled(&g->admission);
 		break;
@@ -341,7 +341,7 @@
 {
 	struct request_msg m = { .type = REQ_FAILED,
 				 .number = result,
-				 .flags = r->state == GATE_RUNNING
+				 .flags = r->state == GATE_IN_FLIGHT
 						  ? REQ_FLAG_BEGUN
 						  : 0 };
 
@@ -448,7 +448,7 @@
 	set_backend_headers(r, fence, left_ms, lease_end_ms - now);
 	url = g_strdup_printf("http://%s%s", g->node->settings.backend_server,
 			      r->url);
-	r->state = GATE_RUNNING;
+	r->state = GATE_IN_FLIGHT;
 	r->started_at_us = clock_now_us();
 	r->unsent_answer = g_byte_array_new();
 	XXH64_reset(&r->digest, 0);
@@ -594,7 +594,7 @@
 	int64_t fence, lease_end_ms;
 
 	COUNT(gate_received);
-	gate_follow_configuration(g);
+	gate_apply_configuration(g);
 	if (m->to != g->node->member.self_id || !g->backend_server.announced) {
 		GBytes *id = identity ? g_bytes_new(identity, len) : NULL;
 
@@ -652,7 +652,7 @@
 	}
 	if (m->type == REQ_CREDIT) {
 		r->uncredited -= m->number;
-		if (r->state == GATE_RUNNING &&
+		if (r->state == GATE_IN_FLIGHT &&
 		    r->uncredited < GATE_WINDOW_BYTES)
 			fetch_resume(&r->fetch);
 	}
@@ -684,7 +684,7 @@
 
 	if (!g->fetcher_ready)
 		return;
-	gate_follow_configuration(g);
+	gate_apply_configuration(g);
 	while (admission_pop_overtaken(&g->admission, now, &q)) {
 		COUNT(gate_refused_overtaken);
 		gate_refuse(q.request, RESULT_OVERLOAD);
--- a/node/gate.h
+++ b/node/gate.h
@@ -160,7 +160,7 @@
 void gate_entry_stopped(struct gate *g, const char *address);
 
 /* Applies a changed configuration; cheap when nothing changed. */
-void gate_follow_configuration(struct gate *g);
+void gate_apply_configuration(struct gate *g);
 
 /* Number of requests that the gate holds for a shard, waiting or in flight. */
 uint32_t gate_shard_load(const struct gate *g, uint32_t shard);
