--- a/node/gate-shard-wait.c
+++ b/node/gate-shard-wait.c
@@ -22,7 +22,7 @@
 	int64_t fence, end;
 
 	/*
-	 * The answer to the server has room for this shard only when another
+	 * The heartbeat answer gets room for this shard only when another
 	 * grant ends, and it is not known when that will be.
 	 */
 	if (grants_waiting_for_room(&r->gate->grants, r->shard))
--- a/node/gate.c
+++ b/node/gate.c
@@ -423,8 +423,8 @@
 		return;
 	}
 	/*
-	 * Where a server gets its grants renewed by heartbeats, it may hold
-	 * the shard beyond the lease end that is known now.
+	 * Where the server checks grants, left_ms is not limited by the lease:
+	 * heartbeats renew it, so it lasts beyond the end that is known now.
 	 */
 	left_ms = r->deadline_ms - now;
 	if (now >= r->start_by_ms)
