--- a/t/bench.sh
+++ b/t/bench.sh
@@ -25,8 +25,8 @@
 	done
 	echo "1,000 lookups/s, medians of $TIMES runs in turn"
 	for n in p50_ms p99_ms; do
-		echo "  $n direct $(pick $n "$DIR/direct" | median)" \
-			"routed $(pick $n "$DIR/routed" | median)"
+		echo "  $n direct $(values_of $n "$DIR/direct" | median)" \
+			"routed $(values_of $n "$DIR/routed" | median)"
 	done
 	stop_fleet
 }
@@ -189,6 +189,6 @@
 
 echo "cores $(nproc), $(uname -m)"
 for s in hops throughput idle recovery configuration; do
-	wants $s && $s
+	section_selected $s && $s
 done
 exit 0
--- a/t/demo.sh
+++ b/t/demo.sh
@@ -40,7 +40,7 @@
 for kind in lookups bookings downloads; do
 	echo "$kind: $(tr '\n' ';' <"$DIR/$kind" | sed 's/;$//; s/;/; /g')"
 done
-echo "bookings that ran twice: $(doubled | wc -l)"
+echo "bookings that ran twice: $(ran_twice | wc -l)"
 echo "imbalance of records (most shards over mean): $(status_of 0 |
 	jq '[.members[] | select(.service=="records") | .shards] |
 		(max / (add / length) * 100 | round) / 100')"
--- a/t/lib-platform.sh
+++ b/t/lib-platform.sh
@@ -132,18 +132,18 @@
 		-H "X-Mesh-Request-Id: ${REQUEST_ID:-r-$BASHPID-$RANDOM}" \
 		-w '%{http_code}\n' "$@" "http://$(caller_of "$i")$path"
 }
-# rows_of I: ranges of keys that a server holds, without their fences.
-rows_of() {
+# ranges_of I: ranges of keys that a server holds, without their fences.
+ranges_of() {
 	ask "http://$(backend_of "$1")/rows" | jq -c '[.[] | [.[0], .[1]]]'
 }
-# wait_beats I N: until the server has sent N more heartbeats.
-wait_beats() {
+# wait_heartbeats I N: until the server has sent N more heartbeats.
+wait_heartbeats() {
 	local i=$1 until=$(($(server_stat "$1" beats) + $2))
-	more_beats() { [ "$(server_stat "$i" beats)" -gt "$until" ]; }
-	wait_for "more heartbeats" more_beats
+	more_heartbeats() { [ "$(server_stat "$i" beats)" -gt "$until" ]; }
+	wait_for "more heartbeats" more_heartbeats
 }
-# restart_beside_server I TIMES: kill a node and start it again, its server lives.
-restart_beside_server() {
+# restart_node_beside_server I TIMES: kill a node and start it again, its server lives.
+restart_node_beside_server() {
 	local i=$1 n
 	holds_shards() { [ "$(field "$i" shards_held)" -gt 0 ]; }
 	for ((n = 0; n < $2; n++)); do
--- a/t/lib.sh
+++ b/t/lib.sh
@@ -192,8 +192,8 @@
 	done
 	echo $sum
 }
-# doubled: ids that ran more than once anywhere.
-doubled() {
+# ran_twice: ids that ran more than once anywhere.
+ran_twice() {
 	local i
 	for i in $NODES; do
 		ask "http://$(backend_of "$i")/ledger" 2>/dev/null
@@ -212,9 +212,9 @@
 
 # For measuring scripts.
 median() { sort -n | awk '{v[NR]=$1} END{print NR ? v[int((NR+1)/2)] : "-"}'; }
-wants() { [[ " $SECTIONS " == *" $1 "* ]]; }
-# pick NAME FILE: every value that follows a name.
-pick() { grep -o "$1 [0-9.]*" "$2" | cut -d' ' -f2; }
+section_selected() { [[ " $SECTIONS " == *" $1 "* ]]; }
+# values_of NAME FILE: every value that follows a name.
+values_of() { grep -o "$1 [0-9.]*" "$2" | cut -d' ' -f2; }
 # stop_fleet: ends what start_fleet and start_log started; other ports follow.
 stop_fleet() {
 	local pid
--- a/t/report.sh
+++ b/t/report.sh
@@ -41,7 +41,7 @@
 	for i in $NODES; do echo --target "$(caller_of "$i")"; done
 }
 
-warm() {
+warm_up() {
 	"$BIN/load" $(targets) --rate "$1" --seconds 4 --path "$2" >/dev/null
 }
 
@@ -58,7 +58,7 @@
 straggler_one() {
 	local policy=$1 service=$2 path=$3 n pid
 	fleet "$policy" "$service" 2
-	warm 400 "$path"
+	warm_up 400 "$path"
 	for ((n = 0; n < TIMES; n++)); do
 		"$BIN/load" $(targets) --rate 400 --seconds "$SECONDS_EACH" \
 			--path "$path" >>"$DIR/calm-$policy-$service"
@@ -72,8 +72,8 @@
 	for n in p50_ms p99_ms p999_ms; do
 		printf '  %-8s %-8s %-8s without %-8s with %s\n' "$service" \
 			"$policy" $n \
-			"$(pick $n "$DIR/calm-$policy-$service" | median)" \
-			"$(pick $n "$DIR/burst-$policy-$service" | median)"
+			"$(values_of $n "$DIR/calm-$policy-$service" | median)" \
+			"$(values_of $n "$DIR/burst-$policy-$service" | median)"
 	done
 	stop_fleet
 }
@@ -91,7 +91,7 @@
 goodput_one() {
 	local policy=$1 capacity=$2 share rate
 	fleet "$policy" $FREE 20
-	warm $((capacity / 4)) "$FREE_PATH"
+	warm_up $((capacity / 4)) "$FREE_PATH"
 	for share in 0.5 1 1.5 3; do
 		rate=$(echo "$capacity * $share / 1" | bc)
 		"$BIN/load" $(targets) --rate "$rate" \
@@ -99,10 +99,10 @@
 			>"$DIR/goodput"
 		printf '  %-8s x%-4s answered %s/s within p99 %s ms; %s\n' \
 			"$policy" $share \
-			"$(($(pick answered "$DIR/goodput") / SECONDS_EACH))" \
-			"$(pick p99_ms "$DIR/goodput")" \
+			"$(($(values_of answered "$DIR/goodput") / SECONDS_EACH))" \
+			"$(values_of p99_ms "$DIR/goodput")" \
 			"$(sed -n 1p "$DIR/goodput")"
-		echo "$share $(($(pick answered "$DIR/goodput") / SECONDS_EACH))" \
+		echo "$share $(($(values_of answered "$DIR/goodput") / SECONDS_EACH))" \
 			>>"$OUT/goodput-$policy.dat"
 	done
 	stop_fleet
@@ -120,7 +120,7 @@
 cold_one() {
 	local policy=$1 i
 	fleet "$policy" $FREE 20 --cold-ms 5000
-	warm $((SLOTS * 40)) "$FREE_PATH"
+	warm_up $((SLOTS * 40)) "$FREE_PATH"
 	sleep 5
 	# All four turn cold without a word, under half of what they bear warm.
 	for i in $NODES; do
@@ -132,8 +132,8 @@
 		"$policy" "$(for i in $NODES; do
 			ask "http://$(backend_of "$i")/stats" |
 				awk '$1=="overloads"{print $2}'
-		done | paste -sd+ | bc)" "$(pick answered "$DIR/cold")" \
-		"$(pick sent "$DIR/cold")" "$(pick p99_ms "$DIR/cold")"
+		done | paste -sd+ | bc)" "$(values_of answered "$DIR/cold")" \
+		"$(values_of sent "$DIR/cold")" "$(values_of p99_ms "$DIR/cold")"
 	stop_fleet
 }
 
@@ -148,7 +148,7 @@
 leave_one() {
 	local policy=$1 pid
 	fleet "$policy" $KEYED 2
-	warm 400 "$KEYED_PATH"
+	warm_up 400 "$KEYED_PATH"
 	"$BIN/load" $(targets) --rate 400 --seconds 12 --path "$KEYED_PATH" \
 		>"$DIR/leave" &
 	pid=$!
@@ -189,7 +189,7 @@
 for s in $SITES; do
 	site "$s"
 	for section in straggler goodput cold leave; do
-		wants $section && $section "$s"
+		section_selected $section && $section "$s"
 	done
 done
 plot
--- a/t/soak/callers.c
+++ b/t/soak/callers.c
@@ -6,12 +6,12 @@
 #include "t/soak/callers.h"
 
 #define MAX_CONNECTIONS 256
-#define TICK_S 0.01
-#define STALL_MS 400
-#define DEADLINE "1500"
-#define GIVE_UP_MS 5000
-#define LEAVE_SHARE 0.04
-#define MAX_LEAVE_S 0.06
+#define SEND_INTERVAL_S 0.01
+#define STALL_THRESHOLD_MS 400
+#define DEADLINE_MS "1500"
+#define CALL_TIMEOUT_MS 5000
+#define LEAVE_PROBABILITY 0.04
+#define MAX_LEAVE_DELAY_S 0.06
 #define NOT_RUN_STATUS 503
 #define NO_ROUTE_STATUS 404
 #define KEY_STEP 1021 /* spreads the keys that are looked up */
@@ -29,11 +29,11 @@
 	[CALL_LIST] = { "GET", "/list/" },
 };
 
-static void end(struct call *c, enum call_outcome outcome)
+static void end_call(struct call *c, enum call_outcome outcome)
 {
-	ev_timer_stop(c->callers->fleet->loop, &c->leave);
+	ev_timer_stop(c->callers->fleet->loop, &c->leave_timer);
 	c->outcome = outcome;
-	c->ended_ms = clock_now_ms();
+	c->ended_at_ms = clock_now_ms();
 	c->callers->n_open--;
 	c->callers->counts[outcome]++;
 	if (c->body)
@@ -42,19 +42,19 @@
 }
 
 /* A backend server names the request in its answer and signs it. */
-static void check_whole(struct call *c)
+static void check_answer(struct call *c)
 {
 	g_autofree char *expected =
-		g_strdup_printf("%s %s for ", kinds[c->kind].method, c->url);
+		g_strdup_printf("%s %s for ", kinds[c->kind].method, c->path);
 	GPtrArray *headers = c->fetch.answer_headers;
 
 	if (!g_str_has_prefix(c->body->str, expected) ||
 	    c->body->str[c->body->len - 1] != '\n')
-		broken(c->callers->fleet, "whole answer: %s got \"%s\"", c->id,
-		       c->body->str);
+		report_broken(c->callers->fleet, "whole answer: %s got \"%s\"",
+			      c->id, c->body->str);
 	if (!header_find(headers, "X-Mesh-Stamp"))
-		broken(c->callers->fleet, "whole answer: %s has no signature",
-		       c->id);
+		report_broken(c->callers->fleet,
+			      "whole answer: %s has no signature", c->id);
 }
 
 static enum call_outcome outcome_of(struct call *c, int result)
@@ -62,14 +62,14 @@
 	if (result)
 		return CALL_FAILED;
 	if (c->status == 200) {
-		check_whole(c);
+		check_answer(c);
 		return CALL_ANSWERED;
 	}
 	/* Every version of the configuration has the routes asked for. */
 	if (c->status == NO_ROUTE_STATUS)
-		broken(c->callers->fleet,
-		       "configuration: node %u has no route for %s", c->node,
-		       c->url);
+		report_broken(c->callers->fleet,
+			      "configuration: node %u has no route for %s",
+			      c->node, c->path);
 	return c->status == NOT_RUN_STATUS ? CALL_REFUSED : CALL_UNKNOWN;
 }
 
@@ -81,9 +81,9 @@
 	c->status = f->status;
 	outcome = outcome_of(c, result);
 	if (outcome == CALL_ANSWERED && c->kind == CALL_LOOKUP)
-		c->callers->answered_ms[c->key] =
-			MAX(c->callers->answered_ms[c->key], c->sent_ms);
-	end(c, outcome);
+		c->callers->answered_sent_at_ms[c->key] = MAX(
+			c->callers->answered_sent_at_ms[c->key], c->sent_at_ms);
+	end_call(c, outcome);
 }
 
 static bool on_data(struct fetch *f, const void *data, size_t len)
@@ -104,7 +104,7 @@
 	(void)loop;
 	(void)events;
 	fetch_cancel(&c->fetch);
-	end(c, CALL_LEFT);
+	end_call(c, CALL_LEFT);
 }
 
 static enum call_kind draw_kind(struct callers *cs)
@@ -114,26 +114,26 @@
 	return x < 0.65 ? CALL_LOOKUP : x < 0.9 ? CALL_BOOKING : CALL_LIST;
 }
 
-static void start(struct call *c)
+static void start_call(struct call *c)
 {
 	struct callers *cs = c->callers;
 	GPtrArray *headers = headers_new();
 	g_autofree char *url = NULL;
 
 	url = g_strdup_printf("http://%s%s", caller_address(cs->fleet, c->node),
-			      c->url);
+			      c->path);
 	header_add(headers, "Host", "a.example");
-	header_add(headers, "X-Mesh-Deadline-Ms", DEADLINE);
+	header_add(headers, "X-Mesh-Deadline-Ms", DEADLINE_MS);
 	header_add(headers, "X-Mesh-Request-Id", c->id);
 	if (c->kind == CALL_LOOKUP)
 		header_add_int(headers, "X-Mesh-Shard-Key",
 			       (gint64)c->key * KEY_STEP);
 	fetch_start(&c->fetch, &cs->fetcher, kinds[c->kind].method, url,
-		    headers, "", 0, GIVE_UP_MS, false, &call_ops, c);
+		    headers, "", 0, CALL_TIMEOUT_MS, false, &call_ops, c);
 	g_ptr_array_unref(headers);
 }
 
-static void send_one(struct callers *cs)
+static void send_call(struct callers *cs)
 {
 	struct call *c = g_new0(struct call, 1);
 
@@ -144,49 +144,52 @@
 		c->key = cs->n_lookups++ % N_LOOKUP_KEYS;
 	g_snprintf(c->id, sizeof(c->id), "c-%" G_GUINT64_FORMAT,
 		   (guint64)cs->n_sent++);
-	g_snprintf(c->url, sizeof(c->url), "%s%s", kinds[c->kind].path, c->id);
+	g_snprintf(c->path, sizeof(c->path), "%s%s", kinds[c->kind].path,
+		   c->id);
 	c->strict = cs->strict;
-	c->sent_ms = clock_now_ms();
+	c->sent_at_ms = clock_now_ms();
 	c->body = g_string_new(NULL);
 	c->outcome = CALL_OPEN;
 	cs->n_open++;
 	g_ptr_array_add(cs->calls, c);
-	ev_init(&c->leave, on_leave);
-	c->leave.data = c;
-	if (g_rand_double(cs->rand) < LEAVE_SHARE) {
-		ev_timer_set(&c->leave,
-			     g_rand_double_range(cs->rand, 0, MAX_LEAVE_S), 0);
-		ev_timer_start(cs->fleet->loop, &c->leave);
+	ev_init(&c->leave_timer, on_leave);
+	c->leave_timer.data = c;
+	if (g_rand_double(cs->rand) < LEAVE_PROBABILITY) {
+		ev_timer_set(
+			&c->leave_timer,
+			g_rand_double_range(cs->rand, 0, MAX_LEAVE_DELAY_S), 0);
+		ev_timer_start(cs->fleet->loop, &c->leave_timer);
 	}
-	start(c);
+	start_call(c);
 }
 
 /*
  * While this process did not run, neither did its callers and proxies: that was
  * trouble for whatever was in progress.
  */
-static void excuse_since(struct callers *cs, int64_t since_ms)
+static void clear_strict_since(struct callers *cs, int64_t since_ms)
 {
 	uint32_t i;
 
 	for (i = 0; i < cs->calls->len; i++) {
 		struct call *c = g_ptr_array_index(cs->calls, i);
 
-		if (c->outcome == CALL_OPEN || c->ended_ms >= since_ms)
+		if (c->outcome == CALL_OPEN || c->ended_at_ms >= since_ms)
 			c->strict = false;
 	}
 }
 
-static void watch_own_stalls(struct callers *cs)
+static void detect_own_stall(struct callers *cs)
 {
 	int64_t now = clock_now_ms();
 
-	if (cs->ticked_ms && now - cs->ticked_ms > STALL_MS) {
+	if (cs->last_tick_at_ms &&
+	    now - cs->last_tick_at_ms > STALL_THRESHOLD_MS) {
 		printf("the soak stood still for %" G_GINT64_FORMAT " ms\n",
-		       (gint64)(now - cs->ticked_ms));
-		excuse_since(cs, cs->ticked_ms);
+		       (gint64)(now - cs->last_tick_at_ms));
+		clear_strict_since(cs, cs->last_tick_at_ms);
 	}
-	cs->ticked_ms = now;
+	cs->last_tick_at_ms = now;
 }
 
 static void on_tick(struct ev_loop *loop, ev_timer *w, int events)
@@ -195,9 +198,9 @@
 
 	(void)loop;
 	(void)events;
-	watch_own_stalls(cs);
-	if (!cs->resting)
-		send_one(cs);
+	detect_own_stall(cs);
+	if (!cs->no_new_calls)
+		send_call(cs);
 }
 
 void callers_init(struct callers *cs, struct fleet *f, uint32_t seed)
@@ -207,7 +210,7 @@
 	cs->rand = g_rand_new_with_seed(seed);
 	cs->calls = g_ptr_array_new();
 	fetcher_init(&cs->fetcher, f->loop, MAX_CONNECTIONS);
-	ev_timer_init(&cs->tick, on_tick, 0, TICK_S);
+	ev_timer_init(&cs->tick, on_tick, 0, SEND_INTERVAL_S);
 	cs->tick.data = cs;
 	ev_timer_start(f->loop, &cs->tick);
 }
@@ -216,5 +219,5 @@
 {
 	cs->strict = strict;
 	if (!strict)
-		excuse_since(cs, clock_now_ms());
+		clear_strict_since(cs, clock_now_ms());
 }
--- a/t/soak/callers.h
+++ b/t/soak/callers.h
@@ -36,16 +36,16 @@
 	struct fetch fetch;
 	struct callers *callers;
 	char id[32];
-	char url[48]; /* path */
+	char path[48]; /* path */
 	enum call_kind kind;
 	enum call_outcome outcome;
 	long status;
 	uint32_t node;
 	uint32_t key;
 	bool strict; /* only planned changes while it was open */
-	bool judged;
-	int64_t sent_ms, ended_ms;
-	ev_timer leave;
+	bool reported;
+	int64_t sent_at_ms, ended_at_ms;
+	ev_timer leave_timer;
 	GString *body;
 };
 
@@ -54,15 +54,16 @@
 	struct fetcher fetcher;
 	GRand *rand;
 	ev_timer tick;
-	int64_t ticked_ms;
+	int64_t last_tick_at_ms;
 	uint64_t n_sent;
 	uint64_t n_lookups;
 	uint64_t counts[N_CALL_OUTCOMES];
 	uint32_t n_open;
 	bool strict;
-	bool resting; /* sends nothing */
+	bool no_new_calls; /* sends nothing */
 	GPtrArray *calls; /* struct call, all */
-	int64_t answered_ms[N_LOOKUP_KEYS]; /* sent when, newest answered */
+	int64_t answered_sent_at_ms[N_LOOKUP_KEYS]; /* sent when, newest
+						       answered */
 };
 
 extern const char *const call_outcome_names[N_CALL_OUTCOMES];
--- a/t/soak/fault-soak.c
+++ b/t/soak/fault-soak.c
@@ -18,15 +18,15 @@
 
 #define STEP_MS 20
 #define POLL_MS 300
-#define TROUBLE_MS 8000
-#define SETTLE_LIMIT_MS 30000
+#define UNPLANNED_PHASE_MS 8000
+#define SETTLE_TIMEOUT_MS 30000
 /*
  * Keys are served again within 3 s of a loss, and what lapsed while the store
  * was away 2 s after its return. When both end together, the loss may only be
  * noticed once a lease of 3 s has run out.
  */
-#define SERVED_AGAIN_MS 8000
-#define QUIET_MS 6000 /* longer than any call waits */
+#define SERVED_TIMEOUT_MS 8000
+#define DRAIN_MS 6000 /* longer than any call waits */
 #define MS_PER_MINUTE 60000
 
 struct soak {
@@ -34,8 +34,8 @@
 	struct callers callers;
 	struct promises promises;
 	struct faults faults;
-	int64_t began_ms;
-	int64_t polled_ms;
+	int64_t started_at_ms;
+	int64_t polled_at_ms;
 	uint32_t n_phases;
 	const char *phase;
 };
@@ -66,26 +66,27 @@
 	ev_timer_stop(s->fleet.loop, &timer);
 }
 
-static void step(struct soak *s)
+static void run_step(struct soak *s)
 {
 	run_for(s, STEP_MS);
-	if (clock_now_ms() - s->polled_ms < POLL_MS)
+	if (clock_now_ms() - s->polled_at_ms < POLL_MS)
 		return;
 	promises_poll(&s->promises);
-	s->polled_ms = clock_now_ms();
+	s->polled_at_ms = clock_now_ms();
 }
 
 static void wait_settled(struct soak *s)
 {
 	int64_t began = clock_now_ms();
 
-	while (!interrupted && !fleet_settled(&s->fleet)) {
-		if (clock_now_ms() - began > SETTLE_LIMIT_MS) {
-			broken(&s->fleet, "not settled %d s after trouble",
-			       SETTLE_LIMIT_MS / 1000);
+	while (!interrupted && !fleet_is_settled(&s->fleet)) {
+		if (clock_now_ms() - began > SETTLE_TIMEOUT_MS) {
+			report_broken(&s->fleet,
+				      "not settled %d s after trouble",
+				      SETTLE_TIMEOUT_MS / 1000);
 			return;
 		}
-		step(s);
+		run_step(s);
 	}
 }
 
@@ -93,29 +94,32 @@
 {
 	int64_t began = clock_now_ms();
 
-	while (!interrupted && !promises_served_since(&s->promises, began)) {
-		if (clock_now_ms() - began > SERVED_AGAIN_MS) {
-			broken(&s->fleet,
-			       "keys served again: some not %d s after trouble",
-			       SERVED_AGAIN_MS / 1000);
+	while (!interrupted &&
+	       !promises_all_keys_served_since(&s->promises, began)) {
+		if (clock_now_ms() - began > SERVED_TIMEOUT_MS) {
+			report_broken(&s->fleet,
+				      "keys served again: some not %d s after "
+				      "trouble",
+				      SERVED_TIMEOUT_MS / 1000);
 			return;
 		}
-		step(s);
+		run_step(s);
 	}
 }
 
-static void tell_phase(struct soak *s)
+static void print_phase(struct soak *s)
 {
-	g_autofree char *what = faults_text(&s->faults);
+	g_autofree char *what = faults_describe(&s->faults);
 	uint64_t *n = s->callers.counts;
 
 	printf("%5.1f s phase %u %s: %s; answered %" G_GUINT64_FORMAT
 	       " refused %" G_GUINT64_FORMAT " unknown %" G_GUINT64_FORMAT
 	       " failed %" G_GUINT64_FORMAT " left %" G_GUINT64_FORMAT "\n",
-	       (clock_now_ms() - s->began_ms) / 1000.0, s->n_phases, s->phase,
-	       *what ? what : "nothing applied", (guint64)n[CALL_ANSWERED],
-	       (guint64)n[CALL_REFUSED], (guint64)n[CALL_UNKNOWN],
-	       (guint64)n[CALL_FAILED], (guint64)n[CALL_LEFT]);
+	       (clock_now_ms() - s->started_at_ms) / 1000.0, s->n_phases,
+	       s->phase, *what ? what : "nothing applied",
+	       (guint64)n[CALL_ANSWERED], (guint64)n[CALL_REFUSED],
+	       (guint64)n[CALL_UNKNOWN], (guint64)n[CALL_FAILED],
+	       (guint64)n[CALL_LEFT]);
 	fflush(stdout);
 }
 
@@ -130,34 +134,34 @@
 	if (planned)
 		faults_draw_planned(&s->faults);
 	else
-		faults_draw_trouble(&s->faults, TROUBLE_MS);
+		faults_draw_unplanned(&s->faults, UNPLANNED_PHASE_MS);
 	while (!interrupted && faults_step(&s->faults))
-		step(s);
-	tell_phase(s);
+		run_step(s);
+	print_phase(s);
 	wait_served(s);
 	wait_settled(s);
 	promises_check_calls(&s->promises);
 }
 
 /* No more calls; then all that ran late has shown. */
-static void finish(struct soak *s)
+static void finish_calls(struct soak *s)
 {
 	g_autofree char *path = NULL;
 	int64_t began = clock_now_ms();
 
-	s->callers.resting = true;
-	while (!interrupted && clock_now_ms() - began < QUIET_MS)
-		step(s);
+	s->callers.no_new_calls = true;
+	while (!interrupted && clock_now_ms() - began < DRAIN_MS)
+		run_step(s);
 	promises_check_calls(&s->promises);
 	path = g_build_filename(s->fleet.dir, "calls.txt", NULL);
 	promises_write_calls(&s->promises, path);
 }
 
-static void run(struct soak *s, uint32_t seed, double minutes)
+static void run_soak(struct soak *s, uint32_t seed, double minutes)
 {
 	int64_t end = clock_now_ms() + (int64_t)(minutes * MS_PER_MINUTE);
 
-	s->began_ms = clock_now_ms();
+	s->started_at_ms = clock_now_ms();
 	promises_init(&s->promises, &s->fleet, &s->callers);
 	faults_init(&s->faults, &s->fleet, seed);
 	run_for(s, STEP_MS * 10);
@@ -167,7 +171,7 @@
 	wait_served(s);
 	while (!interrupted && clock_now_ms() < end)
 		run_phase(s);
-	finish(s);
+	finish_calls(s);
 }
 
 static void remove_logs(const char *dir)
@@ -235,7 +239,7 @@
 	f->dir = g_dir_make_tmp("fault-soak.XXXXXX", NULL);
 	f->grants_by_call = seed % 2;
 	if (!fleet_start(f))
-		run(&s, seed, minutes);
+		run_soak(&s, seed, minutes);
 	else
 		f->n_broken++;
 	fleet_end(f);
--- a/t/soak/faults.c
+++ b/t/soak/faults.c
@@ -7,9 +7,9 @@
 
 #define MIN_FAULTS 3
 #define MAX_FAULTS 8
-#define MIN_LENGTH_MS 200
-#define MAX_LENGTH_MS 6000
-#define PLANNED_MS 2000
+#define MIN_DURATION_MS 200
+#define MAX_DURATION_MS 6000
+#define PLANNED_PHASE_MS 2000
 
 /*
  * begin returns false where it does not apply now; end returns false when it
@@ -47,7 +47,7 @@
 	return true;
 }
 
-static bool start_node_again(struct fleet *f, struct fault *x)
+static bool restart_node(struct fleet *f, struct fault *x)
 {
 	struct node_host *h = host_of(f, x);
 
@@ -178,33 +178,33 @@
 	return control_server(f, x, "drain=0");
 }
 
-static bool spoil_answers(struct fleet *f, struct fault *x)
+static bool inject_answer_faults(struct fleet *f, struct fault *x)
 {
-	static const char *const ways[] = { "lose=3", "unsigned=3",
-					    "wrong_id=3", "late=3",
-					    "refuse=3" };
-	const char *way = ways[x->choice % G_N_ELEMENTS(ways)];
+	static const char *const variants[] = { "lose=3", "unsigned=3",
+						"wrong_id=3", "late=3",
+						"refuse=3" };
+	const char *variant = variants[x->random_bits % G_N_ELEMENTS(variants)];
 
-	x->what = g_strdup_printf("server %u %s", x->node, way);
-	return control_server(f, x, way);
+	x->description = g_strdup_printf("server %u %s", x->node, variant);
+	return control_server(f, x, variant);
 }
 
-static bool trouble_store(struct fleet *f, struct fault *x)
+static bool inject_store_fault(struct fleet *f, struct fault *x)
 {
-	static const char *const ways[] = {
+	static const char *const variants[] = {
 		"down=1", "busy=1", "refuse=1", "trickle_ms=2000",
 		"hold=1", "lose=2", "deaf=1",	"lose=2&late_ms=700",
 	};
-	const char *way = ways[x->choice % G_N_ELEMENTS(ways)];
+	const char *variant = variants[x->random_bits % G_N_ELEMENTS(variants)];
 
 	if (f->store.state != PROCESS_RUNNING)
 		return false;
-	x->what = g_strdup_printf("store %s", way);
-	fleet_control(f, store_address(f), way);
+	x->description = g_strdup_printf("store %s", variant);
+	fleet_control(f, store_address(f), variant);
 	return true;
 }
 
-static bool mend_store(struct fleet *f, struct fault *x)
+static bool clear_store_fault(struct fleet *f, struct fault *x)
 {
 	(void)x;
 	if (f->store.state != PROCESS_RUNNING)
@@ -215,45 +215,47 @@
 	return true;
 }
 
-enum line_trouble {
-	LINE_DELAYED,
-	LINE_RESET,
-	LINE_CUT_UP,
-	LINE_CUT_DOWN,
-	LINE_SILENT,
-	N_LINE_TROUBLES,
+enum link_fault {
+	LINK_DELAYED,
+	LINK_RESET,
+	LINK_CUT_UP,
+	LINK_CUT_DOWN,
+	LINK_CUT_BOTH,
+	N_LINK_FAULTS,
 };
 
-static bool trouble_line(struct fleet *f, struct fault *x)
+static bool inject_link_fault(struct fleet *f, struct fault *x)
 {
-	static const char *const names[N_LINE_TROUBLES] = {
+	static const char *const names[N_LINK_FAULTS] = {
 		"delay", "reset", "cut up", "cut down", "silence",
 	};
-	struct proxy *line = &host_of(f, x)->lines[x->line];
-	enum line_trouble way = x->choice % N_LINE_TROUBLES;
+	struct proxy *link = &host_of(f, x)->links[x->link];
+	enum link_fault variant = x->random_bits % N_LINK_FAULTS;
 
-	if (line->delay_ms || line->held[PROXY_UP] || line->held[PROXY_DOWN])
+	if (link->delay_ms || link->blocked[PROXY_UP] ||
+	    link->blocked[PROXY_DOWN])
 		return false;
-	x->what = g_strdup_printf("%s %s of node %u", names[way],
-				  line_names[x->line], x->node);
-	if (way == LINE_DELAYED)
-		proxy_delay(line, 20 + x->choice % 400);
-	else if (way == LINE_RESET)
-		proxy_reset(line);
+	x->description = g_strdup_printf("%s %s of node %u", names[variant],
+					 link_names[x->link], x->node);
+	if (variant == LINK_DELAYED)
+		proxy_set_delay(link, 20 + x->random_bits % 400);
+	else if (variant == LINK_RESET)
+		proxy_reset_connections(link);
 	else
-		proxy_hold(line, way != LINE_CUT_DOWN, way != LINE_CUT_UP);
+		proxy_block(link, variant != LINK_CUT_DOWN,
+			    variant != LINK_CUT_UP);
 	return true;
 }
 
-static bool mend_line(struct fleet *f, struct fault *x)
+static bool clear_link_fault(struct fleet *f, struct fault *x)
 {
-	struct proxy *line = &host_of(f, x)->lines[x->line];
+	struct proxy *link = &host_of(f, x)->links[x->link];
 
-	proxy_delay(line, 0);
+	proxy_set_delay(link, 0);
 	/* Some connections do not outlive what befell them. */
-	if (x->choice / N_LINE_TROUBLES % 2)
-		proxy_reset(line);
-	proxy_hold(line, false, false);
+	if (x->random_bits / N_LINK_FAULTS % 2)
+		proxy_reset_connections(link);
+	proxy_block(link, false, false);
 	return true;
 }
 
@@ -265,7 +267,7 @@
 
 	if (f->hosts[i].node.state != PROCESS_RUNNING)
 		return false;
-	done = fleet_ask(f, "POST", operator_address(f, i), path, NULL);
+	done = fleet_request(f, "POST", operator_address(f, i), path, NULL);
 	return done;
 }
 
@@ -276,10 +278,10 @@
 
 	if (host_of(f, x)->node.state != PROCESS_RUNNING)
 		return false;
-	x->what = g_strdup_printf("cut node %u from peers %02x", x->node,
-				  x->choice & 0xff);
+	x->description = g_strdup_printf("cut node %u from peers %02x", x->node,
+					 x->random_bits & 0xff);
 	for (i = 0; i < N_NODES; i++)
-		if (i != x->node && x->choice >> i & 1) {
+		if (i != x->node && x->random_bits >> i & 1) {
 			set_cut(f, i, x->node, true);
 			set_cut(f, x->node, i, true);
 		}
@@ -290,7 +292,7 @@
  * The process that was told to cut may have ended since; one that is paused is
  * told when it goes on.
  */
-static bool join_peers(struct fleet *f, struct fault *x)
+static bool reconnect_peers(struct fleet *f, struct fault *x)
 {
 	uint32_t i;
 
@@ -298,7 +300,7 @@
 		if (f->hosts[i].node.state == PROCESS_PAUSED)
 			return false;
 	for (i = 0; i < N_NODES; i++)
-		if (i != x->node && x->choice >> i & 1) {
+		if (i != x->node && x->random_bits >> i & 1) {
 			set_cut(f, i, x->node, false);
 			set_cut(f, x->node, i, false);
 		}
@@ -306,13 +308,13 @@
 }
 
 static const struct fault_kind stop_kind = { "stop node", 4, stop_node,
-					     start_node_again };
+					     restart_node };
 static const struct fault_kind reload_kind = { "reload node", 2, reload_node,
 					       NULL };
 static const struct fault_kind publish_kind = { "publish", 2, publish, NULL };
 
-static const struct fault_kind other_kinds[] = {
-	{ "kill node", 4, kill_node, start_node_again },
+static const struct fault_kind unplanned_kinds[] = {
+	{ "kill node", 4, kill_node, restart_node },
 	{ "kill all nodes", 1, kill_all_nodes, start_all_nodes },
 	{ "pause node", 4, pause_node, resume_node },
 	{ "pause server", 2, pause_server, resume_server },
@@ -320,10 +322,10 @@
 	{ "new life of server", 2, crash_server, NULL },
 	{ "mute server", 2, mute_server, unmute_server },
 	{ "drain server", 2, drain_server, undrain_server },
-	{ "spoil answers", 3, spoil_answers, NULL },
-	{ "store", 4, trouble_store, mend_store },
-	{ "line", 12, trouble_line, mend_line },
-	{ "cut peers", 4, cut_peers, join_peers },
+	{ "spoil answers", 3, inject_answer_faults, NULL },
+	{ "store", 4, inject_store_fault, clear_store_fault },
+	{ "line", 12, inject_link_fault, clear_link_fault },
+	{ "cut peers", 4, cut_peers, reconnect_peers },
 };
 
 void faults_init(struct faults *s, struct fleet *f, uint32_t seed)
@@ -331,7 +333,7 @@
 	s->fleet = f;
 	s->rand = g_rand_new_with_seed(seed);
 	s->all = g_ptr_array_new();
-	s->started_ms = clock_now_ms();
+	s->phase_started_at_ms = clock_now_ms();
 }
 
 void faults_clear(struct faults *s)
@@ -341,24 +343,24 @@
 	for (i = 0; i < s->all->len; i++) {
 		struct fault *x = g_ptr_array_index(s->all, i);
 
-		g_free(x->what);
+		g_free(x->description);
 		g_free(x);
 	}
 	g_ptr_array_set_size(s->all, 0);
-	s->started_ms = clock_now_ms();
+	s->phase_started_at_ms = clock_now_ms();
 }
 
-static void add(struct faults *s, const struct fault_kind *kind,
-		int64_t begin_ms, int64_t length_ms)
+static void add_fault(struct faults *s, const struct fault_kind *kind,
+		      int64_t begin_offset_ms, int64_t duration_ms)
 {
 	struct fault *x = g_new0(struct fault, 1);
 
 	x->kind = kind;
 	x->node = g_rand_int_range(s->rand, 0, N_NODES);
-	x->line = g_rand_int_range(s->rand, 0, N_LINES);
-	x->choice = g_rand_int(s->rand) >> 1;
-	x->begin_ms = begin_ms;
-	x->end_ms = begin_ms + length_ms;
+	x->link = g_rand_int_range(s->rand, 0, N_LINKS);
+	x->random_bits = g_rand_int(s->rand) >> 1;
+	x->begin_offset_ms = begin_offset_ms;
+	x->end_offset_ms = begin_offset_ms + duration_ms;
 	g_ptr_array_add(s->all, x);
 }
 
@@ -372,20 +374,20 @@
 
 	for (i = 0; i < G_N_ELEMENTS(planned); i++)
 		sum += planned[i]->weight;
-	for (i = 0; i < G_N_ELEMENTS(other_kinds); i++)
-		sum += other_kinds[i].weight;
+	for (i = 0; i < G_N_ELEMENTS(unplanned_kinds); i++)
+		sum += unplanned_kinds[i].weight;
 	at = g_rand_int_range(s->rand, 0, sum);
 	for (i = 0; i < G_N_ELEMENTS(planned); i++) {
 		at -= planned[i]->weight;
 		if (at < 0)
 			return planned[i];
 	}
-	for (i = 0; i < G_N_ELEMENTS(other_kinds) - 1; i++) {
-		at -= other_kinds[i].weight;
+	for (i = 0; i < G_N_ELEMENTS(unplanned_kinds) - 1; i++) {
+		at -= unplanned_kinds[i].weight;
 		if (at < 0)
 			break;
 	}
-	return &other_kinds[i];
+	return &unplanned_kinds[i];
 }
 
 void faults_draw_planned(struct faults *s)
@@ -396,21 +398,25 @@
 	uint32_t i;
 
 	for (i = 0; i < n; i++)
-		add(s, kinds[i], g_rand_int_range(s->rand, 0, PLANNED_MS),
-		    g_rand_int_range(s->rand, MIN_LENGTH_MS, PLANNED_MS));
+		add_fault(s, kinds[i],
+			  g_rand_int_range(s->rand, 0, PLANNED_PHASE_MS),
+			  g_rand_int_range(s->rand, MIN_DURATION_MS,
+					   PLANNED_PHASE_MS));
 }
 
-void faults_draw_trouble(struct faults *s, int64_t length_ms)
+void faults_draw_unplanned(struct faults *s, int64_t duration_ms)
 {
 	uint32_t n = g_rand_int_range(s->rand, MIN_FAULTS, MAX_FAULTS + 1);
 	uint32_t i;
 
 	for (i = 0; i < n; i++)
-		add(s, draw_kind(s), g_rand_int_range(s->rand, 0, length_ms),
-		    g_rand_int_range(s->rand, MIN_LENGTH_MS, MAX_LENGTH_MS));
+		add_fault(s, draw_kind(s),
+			  g_rand_int_range(s->rand, 0, duration_ms),
+			  g_rand_int_range(s->rand, MIN_DURATION_MS,
+					   MAX_DURATION_MS));
 }
 
-static void begin(struct faults *s, struct fault *x)
+static void begin_fault(struct faults *s, struct fault *x)
 {
 	x->begun = x->kind->begin(s->fleet, x);
 	x->ended = !x->begun || !x->kind->end;
@@ -418,23 +424,23 @@
 
 bool faults_step(struct faults *s)
 {
-	int64_t at_ms = clock_now_ms() - s->started_ms;
+	int64_t at_ms = clock_now_ms() - s->phase_started_at_ms;
 	bool any = false;
 	uint32_t i;
 
 	for (i = 0; i < s->all->len; i++) {
 		struct fault *x = g_ptr_array_index(s->all, i);
 
-		if (!x->begun && !x->ended && x->begin_ms <= at_ms)
-			begin(s, x);
-		else if (x->begun && !x->ended && x->end_ms <= at_ms)
+		if (!x->begun && !x->ended && x->begin_offset_ms <= at_ms)
+			begin_fault(s, x);
+		else if (x->begun && !x->ended && x->end_offset_ms <= at_ms)
 			x->ended = x->kind->end(s->fleet, x);
 		any = any || !x->ended;
 	}
 	return any;
 }
 
-char *faults_text(const struct faults *s)
+char *faults_describe(const struct faults *s)
 {
 	GString *out = g_string_new(NULL);
 	uint32_t i;
@@ -446,16 +452,18 @@
 			continue;
 		if (out->len)
 			g_string_append(out, ", ");
-		if (x->what)
-			g_string_append(out, x->what);
+		if (x->description)
+			g_string_append(out, x->description);
 		else
 			g_string_append_printf(out, "%s %u", x->kind->name,
 					       x->node);
-		g_string_append_printf(out, " at %.1f", x->begin_ms / 1000.0);
+		g_string_append_printf(out, " at %.1f",
+				       x->begin_offset_ms / 1000.0);
 		if (x->kind->end)
-			g_string_append_printf(out, " for %.1f s",
-					       (x->end_ms - x->begin_ms) /
-						       1000.0);
+			g_string_append_printf(
+				out, " for %.1f s",
+				(x->end_offset_ms - x->begin_offset_ms) /
+					1000.0);
 		else
 			g_string_append(out, " s");
 	}
--- a/t/soak/faults.h
+++ b/t/soak/faults.h
@@ -13,28 +13,29 @@
 struct fault {
 	const struct fault_kind *kind;
 	uint32_t node;
-	uint32_t line;
-	uint32_t choice; /* what else a kind may draw */
-	int64_t begin_ms, end_ms; /* from the start of the phase */
+	uint32_t link;
+	uint32_t random_bits; /* what else a kind may draw */
+	int64_t begin_offset_ms,
+		end_offset_ms; /* from the start of the phase */
 	bool begun, ended;
-	char *what;
+	char *description;
 };
 
 struct faults {
 	struct fleet *fleet;
 	GRand *rand;
 	GPtrArray *all; /* struct fault */
-	int64_t started_ms;
+	int64_t phase_started_at_ms;
 };
 
 void faults_init(struct faults *s, struct fleet *f, uint32_t seed);
 /* Only what operators plan: stops, reloads, configurations. */
 void faults_draw_planned(struct faults *s);
-void faults_draw_trouble(struct faults *s, int64_t length_ms);
+void faults_draw_unplanned(struct faults *s, int64_t duration_ms);
 /* Begin and end what is due; false when all have ended. */
 bool faults_step(struct faults *s);
 void faults_clear(struct faults *s);
 /* A line on those that began. The caller frees it. */
-char *faults_text(const struct faults *s);
+char *faults_describe(const struct faults *s);
 
 #endif
--- a/t/soak/fleet.c
+++ b/t/soak/fleet.c
@@ -12,12 +12,12 @@
 #include "t/soak/fleet.h"
 #include "util/result.h"
 
-#define PORTS_OF_NODE 16
+#define PORTS_PER_NODE 16
 #define STORE_PORT 500
-#define ASK_MS 1000
+#define REQUEST_TIMEOUT_MS 1000
 #define N_KEYS 65536
 #define WITNESSES 3
-#define MAX_TOLD 50 /* broken promises */
+#define MAX_REPORTED 50 /* broken promises */
 
 enum port {
 	PORT_CALLERS = 1,
@@ -29,7 +29,7 @@
 	PORT_PROXIES, /* and those that follow, one for each line */
 };
 
-const char *const line_names[N_LINES] = { "callers", "store", "server",
+const char *const link_names[N_LINKS] = { "callers", "store", "server",
 					  "heartbeats" };
 static const char *const services[] = { "records", "bookings" };
 static const char *const data_centres[] = { "hakata", "tenjin", "kurume",
@@ -48,18 +48,18 @@
 static const char *node_address(const struct fleet *f, uint32_t i,
 				uint32_t port)
 {
-	return address(f->base_port + PORTS_OF_NODE * i + port);
+	return address(f->base_port + PORTS_PER_NODE * i + port);
 }
 
-static const char *line_address(const struct fleet *f, uint32_t i,
-				enum line line)
+static const char *link_address(const struct fleet *f, uint32_t i,
+				enum fleet_link link)
 {
-	return node_address(f, i, PORT_PROXIES + line);
+	return node_address(f, i, PORT_PROXIES + link);
 }
 
 const char *caller_address(const struct fleet *f, uint32_t i)
 {
-	return line_address(f, i, LINE_CALLERS);
+	return link_address(f, i, LINK_CALLERS);
 }
 
 const char *operator_address(const struct fleet *f, uint32_t i)
@@ -82,12 +82,12 @@
 	return address(f->base_port + STORE_PORT);
 }
 
-void broken(struct fleet *f, const char *format, ...)
+void report_broken(struct fleet *f, const char *format, ...)
 {
 	g_autofree char *text = NULL;
 	va_list args;
 
-	if (f->n_broken++ >= MAX_TOLD)
+	if (f->n_broken++ >= MAX_REPORTED)
 		return;
 	va_start(args, format);
 	text = g_strdup_vprintf(format, args);
@@ -130,7 +130,7 @@
 	else if (signal == SIGTERM)
 		p->state = PROCESS_STOPPING;
 	if (signal == SIGTERM)
-		p->asked_ms = clock_now_ms();
+		p->stop_requested_at_ms = clock_now_ms();
 }
 
 void process_kill(struct process *p)
@@ -149,7 +149,7 @@
 	p->state = PROCESS_ENDED;
 }
 
-bool process_ended(struct process *p, int *status)
+bool process_reap(struct process *p, int *status)
 {
 	*status = 0;
 	if (p->state == PROCESS_ENDED)
@@ -194,7 +194,7 @@
 		" \"test_hooks\": true}\n",
 		i, h->data_centre, h->service, node_address(f, i, PORT_CALLERS),
 		peer_address(f, i), operator_address(f, i),
-		line_address(f, i, LINE_SERVER), line_address(f, i, LINE_STORE),
+		link_address(f, i, LINK_SERVER), link_address(f, i, LINK_STORE),
 		node_address(f, i, PORT_READY),
 		node_address(f, i, PORT_ANNOUNCE), peer_address(f, 0),
 		peer_address(f, 1), f->grants_by_call ? "call" : "heartbeat");
@@ -210,8 +210,8 @@
 	const char *arguments[] = { "briargrade", "run", "--settings", path,
 				    NULL };
 
-	h->version = -1;
-	h->version_at_start = f->newest_version;
+	h->shown_version = -1;
+	h->newest_version_at_start = f->newest_version;
 	spawn(f, &h->node, "briargrade", arguments, log);
 }
 
@@ -222,9 +222,9 @@
 				    "--listen",
 				    server_address(f, h->index),
 				    "--address",
-				    line_address(f, h->index, LINE_SERVER),
+				    link_address(f, h->index, LINK_SERVER),
 				    "--node",
-				    line_address(f, h->index, LINE_BEATS),
+				    link_address(f, h->index, LINK_HEARTBEATS),
 				    "--service",
 				    h->service,
 				    "--data-centre",
@@ -236,23 +236,23 @@
 	spawn(f, &h->server, "platform-server", arguments, log);
 }
 
-static int start_lines(struct fleet *f, struct node_host *h)
+static int start_links(struct fleet *f, struct node_host *h)
 {
-	const char *to[N_LINES] = {
-		[LINE_CALLERS] = node_address(f, h->index, PORT_CALLERS),
-		[LINE_STORE] = store_address(f),
-		[LINE_SERVER] = server_address(f, h->index),
-		[LINE_BEATS] = node_address(f, h->index, PORT_ANNOUNCE),
+	const char *to[N_LINKS] = {
+		[LINK_CALLERS] = node_address(f, h->index, PORT_CALLERS),
+		[LINK_STORE] = store_address(f),
+		[LINK_SERVER] = server_address(f, h->index),
+		[LINK_HEARTBEATS] = node_address(f, h->index, PORT_ANNOUNCE),
 	};
 	uint32_t l;
 
-	for (l = 0; l < N_LINES; l++) {
-		int err = proxy_init(&h->lines[l], f->loop,
-				     line_address(f, h->index, l), to[l]);
+	for (l = 0; l < N_LINKS; l++) {
+		int err = proxy_init(&h->links[l], f->loop,
+				     link_address(f, h->index, l), to[l]);
 
 		if (err) {
 			printf("cannot listen on %s\n",
-			       line_address(f, h->index, l));
+			       link_address(f, h->index, l));
 			return err;
 		}
 	}
@@ -275,7 +275,7 @@
 		h->index = i;
 		h->service = services[i % G_N_ELEMENTS(services)];
 		h->data_centre = data_centres[i / G_N_ELEMENTS(services)];
-		err = start_lines(f, h);
+		err = start_links(f, h);
 		if (!err)
 			err = write_settings(f, h);
 		if (err)
@@ -297,7 +297,7 @@
 	kill_and_wait(&f->store);
 }
 
-struct question {
+struct request {
 	struct fetch fetch;
 	GString *answer;
 	bool done;
@@ -306,43 +306,44 @@
 
 static bool on_data(struct fetch *fetch, const void *data, size_t len)
 {
-	struct question *q = fetch->user;
+	struct request *r = fetch->user;
 
-	g_string_append_len(q->answer, data, len);
+	g_string_append_len(r->answer, data, len);
 	return true;
 }
 
 static void on_done(struct fetch *fetch, int result)
 {
-	struct question *q = fetch->user;
+	struct request *r = fetch->user;
 
-	q->done = true;
-	q->result = result;
+	r->done = true;
+	r->result = result;
 }
 
-static const struct fetch_ops question_ops = { .on_data = on_data,
-					       .on_done = on_done };
+static const struct fetch_ops request_ops = { .on_data = on_data,
+					      .on_done = on_done };
 
-char *fleet_ask(struct fleet *f, const char *method, const char *at,
-		const char *path, const char *body)
+char *fleet_request(struct fleet *f, const char *method, const char *at,
+		    const char *path, const char *body)
 {
 	g_autofree char *url = g_strdup_printf("http://%s%s", at, path);
-	struct question q = { .answer = g_string_new(NULL) };
+	struct request r = { .answer = g_string_new(NULL) };
 	bool good;
 
-	fetch_start(&q.fetch, &f->fetcher, method, url, NULL, body ? body : "",
-		    body ? strlen(body) : 0, ASK_MS, false, &question_ops, &q);
-	while (!q.done)
+	fetch_start(&r.fetch, &f->fetcher, method, url, NULL, body ? body : "",
+		    body ? strlen(body) : 0, REQUEST_TIMEOUT_MS, false,
+		    &request_ops, &r);
+	while (!r.done)
 		ev_run(f->loop, EVRUN_ONCE);
-	good = !q.result && q.fetch.status == 200;
-	return g_string_free(q.answer, !good);
+	good = !r.result && r.fetch.status == 200;
+	return g_string_free(r.answer, !good);
 }
 
 void fleet_control(struct fleet *f, const char *at, const char *what)
 {
 	g_autofree char *path = g_strdup_printf("/control?%s", what);
 
-	g_free(fleet_ask(f, "POST", at, path, NULL));
+	g_free(fleet_request(f, "POST", at, path, NULL));
 }
 
 void fleet_publish(struct fleet *f)
@@ -368,25 +369,26 @@
 		"\"cold_start_s\":3,\"cold_per_s\":25,\"sharded\":true,"
 		"\"warmup_s\":2,\"grants\":\"%s\"},{\"name\":\"bookings\","
 		"\"max_conns\":130,\"cold_start_s\":3,\"cold_per_s\":25}]}",
-		(int)++f->published, f->grants_by_call ? "call" : "heartbeat");
+		(int)++f->published_version,
+		f->grants_by_call ? "call" : "heartbeat");
 
-	g_free(fleet_ask(f, "POST", store_address(f), "/publish?key=config",
-			 text));
+	g_free(fleet_request(f, "POST", store_address(f), "/publish?key=config",
+			     text));
 }
 
-bool fleet_ready(struct fleet *f, uint32_t i)
+bool fleet_node_is_ready(struct fleet *f, uint32_t i)
 {
-	g_autofree char *text = fleet_ask(
+	g_autofree char *text = fleet_request(
 		f, "GET", node_address(f, i, PORT_READY), "/-/readyz", NULL);
 
 	return text;
 }
 
-static bool node_settled(struct fleet *f, uint32_t i)
+static bool node_is_settled(struct fleet *f, uint32_t i)
 {
-	bool ready = fleet_ready(f, i);
-	g_autofree char *text =
-		fleet_ask(f, "GET", operator_address(f, i), "/status", NULL);
+	bool ready = fleet_node_is_ready(f, i);
+	g_autofree char *text = fleet_request(f, "GET", operator_address(f, i),
+					      "/status", NULL);
 	json_t *status = text ? json_loads(text, 0, NULL) : NULL;
 	json_t *members = json_object_get(status, "members");
 	bool good = ready && json_array_size(members) == N_NODES;
@@ -400,7 +402,7 @@
 	return good;
 }
 
-bool fleet_settled(struct fleet *f)
+bool fleet_is_settled(struct fleet *f)
 {
 	int64_t n_keys = 0;
 	uint32_t i;
@@ -409,10 +411,10 @@
 		g_autofree char *stats = NULL;
 		const char *keys;
 
-		if (!node_settled(f, i))
+		if (!node_is_settled(f, i))
 			return false;
-		stats = fleet_ask(f, "GET", server_address(f, i), "/stats",
-				  NULL);
+		stats = fleet_request(f, "GET", server_address(f, i), "/stats",
+				      NULL);
 		keys = stats ? strstr(stats, "\nkeys ") : NULL;
 		if (keys)
 			n_keys += g_ascii_strtoll(keys + strlen("\nkeys "),
--- a/t/soak/fleet.h
+++ b/t/soak/fleet.h
@@ -15,12 +15,12 @@
 
 #define N_NODES 8
 
-enum line {
-	LINE_CALLERS, /* callers to node */
-	LINE_STORE, /* node to store */
-	LINE_SERVER, /* node to its backend server */
-	LINE_BEATS, /* backend server to its node */
-	N_LINES,
+enum fleet_link {
+	LINK_CALLERS, /* callers to node */
+	LINK_STORE, /* node to store */
+	LINK_SERVER, /* node to its backend server */
+	LINK_HEARTBEATS, /* backend server to its node */
+	N_LINKS,
 };
 
 enum process_state {
@@ -34,7 +34,7 @@
 struct process {
 	pid_t pid;
 	enum process_state state;
-	int64_t asked_ms; /* when it was asked to end */
+	int64_t stop_requested_at_ms; /* when it was asked to end */
 };
 
 struct node_host {
@@ -43,9 +43,10 @@
 	const char *data_centre;
 	struct process node;
 	struct process server;
-	struct proxy lines[N_LINES];
-	int64_t version; /* newest configuration that the process has shown */
-	int64_t version_at_start; /* newest of all when it began */
+	struct proxy links[N_LINKS];
+	int64_t shown_version; /* newest configuration that the process has
+				  shown */
+	int64_t newest_version_at_start; /* newest of all when it began */
 };
 
 struct fleet {
@@ -58,11 +59,11 @@
 	struct node_host hosts[N_NODES];
 	struct process store;
 	int64_t newest_version;
-	int64_t published;
+	int64_t published_version;
 	uint32_t n_broken; /* promises */
 };
 
-extern const char *const line_names[N_LINES];
+extern const char *const link_names[N_LINKS];
 
 /* Addresses, in a buffer that the next few calls use again. */
 const char *caller_address(const struct fleet *f, uint32_t i);
@@ -81,22 +82,22 @@
 /* Without waiting, which takes long on a busy machine. */
 void process_kill(struct process *p);
 /* Whether it has ended; its status then. */
-bool process_ended(struct process *p, int *status);
+bool process_reap(struct process *p, int *status);
 
 /*
  * Ask a process and run the loop until its answer is there; NULL without a
  * whole answer of status 200. The caller frees it.
  */
-char *fleet_ask(struct fleet *f, const char *method, const char *address,
-		const char *path, const char *body);
+char *fleet_request(struct fleet *f, const char *method, const char *address,
+		    const char *path, const char *body);
 void fleet_control(struct fleet *f, const char *address, const char *what);
 void fleet_publish(struct fleet *f);
-bool fleet_ready(struct fleet *f, uint32_t i);
+bool fleet_node_is_ready(struct fleet *f, uint32_t i);
 /* Ready, all members known, witnesses settled and every key held. */
-bool fleet_settled(struct fleet *f);
+bool fleet_is_settled(struct fleet *f);
 
 /* Report that a promise is broken. */
-void broken(struct fleet *f, const char *format, ...)
+void report_broken(struct fleet *f, const char *format, ...)
 	__attribute__((format(printf, 2, 3)));
 
 #endif
--- a/t/soak/proxy.c
+++ b/t/soak/proxy.c
@@ -16,25 +16,25 @@
 
 /* An empty one stands for the end of the stream. */
 struct chunk {
-	int64_t due_ms;
-	size_t sent;
+	int64_t due_at_ms;
+	size_t n_sent;
 	GByteArray *bytes;
 };
 
 /* One direction of a connection. */
 struct pipe {
-	struct proxy_link *link;
+	struct proxy_connection *connection;
 	enum proxy_direction direction;
 	int from, to;
-	ev_io in, out;
-	ev_timer due;
+	ev_io read_watcher, write_watcher;
+	ev_timer due_timer;
 	GQueue chunks;
-	size_t queued;
-	bool finished; /* its end was read */
-	bool ended; /* and passed on */
+	size_t queued_bytes;
+	bool eof_read; /* its end was read */
+	bool eof_sent; /* and passed on */
 };
 
-struct proxy_link {
+struct proxy_connection {
 	struct proxy *proxy;
 	struct pipe pipes[PROXY_DIRECTIONS];
 };
@@ -47,88 +47,89 @@
 	g_free(c);
 }
 
-static void link_close(struct proxy_link *l, bool reset)
+static void connection_close(struct proxy_connection *conn, bool reset)
 {
 	struct linger at_once = { .l_onoff = 1, .l_linger = 0 };
 	uint32_t i;
 
 	for (i = 0; i < PROXY_DIRECTIONS; i++) {
-		struct pipe *p = &l->pipes[i];
+		struct pipe *p = &conn->pipes[i];
 
-		ev_io_stop(l->proxy->loop, &p->in);
-		ev_io_stop(l->proxy->loop, &p->out);
-		ev_timer_stop(l->proxy->loop, &p->due);
+		ev_io_stop(conn->proxy->loop, &p->read_watcher);
+		ev_io_stop(conn->proxy->loop, &p->write_watcher);
+		ev_timer_stop(conn->proxy->loop, &p->due_timer);
 		g_queue_clear_full(&p->chunks, chunk_free);
 		if (reset)
 			setsockopt(p->from, SOL_SOCKET, SO_LINGER, &at_once,
 				   sizeof(at_once));
 		close(p->from);
 	}
-	g_ptr_array_remove_fast(l->proxy->links, l);
-	g_free(l);
+	g_ptr_array_remove_fast(conn->proxy->connections, conn);
+	g_free(conn);
 }
 
-static void wait_until(struct pipe *p, int64_t ms)
+static void start_due_timer(struct pipe *p, int64_t ms)
 {
-	struct ev_loop *loop = p->link->proxy->loop;
+	struct ev_loop *loop = p->connection->proxy->loop;
 
-	ev_timer_stop(loop, &p->due);
-	ev_timer_set(&p->due, ms / 1000.0, 0);
-	ev_timer_start(loop, &p->due);
+	ev_timer_stop(loop, &p->due_timer);
+	ev_timer_set(&p->due_timer, ms / 1000.0, 0);
+	ev_timer_start(loop, &p->due_timer);
 }
 
 /* False when the link was closed. */
-static bool send_chunk(struct pipe *p, struct chunk *c, bool *blocked)
+static bool send_chunk(struct pipe *p, struct chunk *c, bool *would_block)
 {
 	ssize_t n;
 
-	*blocked = false;
+	*would_block = false;
 	if (!c->bytes->len) {
 		shutdown(p->to, SHUT_WR);
-		p->ended = true;
-		if (p->link->pipes[!p->direction].ended) {
-			link_close(p->link, false);
+		p->eof_sent = true;
+		if (p->connection->pipes[!p->direction].eof_sent) {
+			connection_close(p->connection, false);
 			return false;
 		}
 		return true;
 	}
-	n = send(p->to, c->bytes->data + c->sent, c->bytes->len - c->sent,
+	n = send(p->to, c->bytes->data + c->n_sent, c->bytes->len - c->n_sent,
 		 MSG_NOSIGNAL);
 	if (n < 0 && errno != EAGAIN && errno != ENOTCONN) {
-		link_close(p->link, true);
+		connection_close(p->connection, true);
 		return false;
 	}
 	if (n > 0)
-		c->sent += n;
-	*blocked = c->sent < c->bytes->len;
+		c->n_sent += n;
+	*would_block = c->n_sent < c->bytes->len;
 	return true;
 }
 
 static void pump(struct pipe *p)
 {
-	struct proxy *x = p->link->proxy;
+	struct proxy *x = p->connection->proxy;
 	struct chunk *c;
-	bool blocked;
+	bool would_block;
 
-	ev_io_stop(x->loop, &p->out);
-	while (!x->held[p->direction] && (c = g_queue_peek_head(&p->chunks))) {
+	ev_io_stop(x->loop, &p->write_watcher);
+	while (!x->blocked[p->direction] &&
+	       (c = g_queue_peek_head(&p->chunks))) {
 		int64_t now = clock_now_ms();
 
-		if (c->due_ms > now) {
-			wait_until(p, c->due_ms - now);
+		if (c->due_at_ms > now) {
+			start_due_timer(p, c->due_at_ms - now);
 			return;
 		}
-		if (!send_chunk(p, c, &blocked))
+		if (!send_chunk(p, c, &would_block))
 			return;
-		if (blocked) {
-			ev_io_start(x->loop, &p->out);
+		if (would_block) {
+			ev_io_start(x->loop, &p->write_watcher);
 			return;
 		}
-		p->queued -= c->bytes->len;
+		p->queued_bytes -= c->bytes->len;
 		chunk_free(g_queue_pop_head(&p->chunks));
 	}
-	if (!p->finished && p->queued < MAX_QUEUED_BYTES)
-		ev_io_start(x->loop, &p->in);
+	if (!p->eof_read && p->queued_bytes < MAX_QUEUED_BYTES)
+		ev_io_start(x->loop, &p->read_watcher);
 }
 
 static void on_in(struct ev_loop *loop, ev_io *w, int events)
@@ -142,17 +143,17 @@
 	if (n < 0 && errno == EAGAIN)
 		return;
 	if (n < 0) {
-		link_close(p->link, true);
+		connection_close(p->connection, true);
 		return;
 	}
 	c = g_new0(struct chunk, 1);
-	c->due_ms = clock_now_ms() + p->link->proxy->delay_ms;
+	c->due_at_ms = clock_now_ms() + p->connection->proxy->delay_ms;
 	c->bytes = g_byte_array_new();
 	g_byte_array_append(c->bytes, data, n);
 	g_queue_push_tail(&p->chunks, c);
-	p->queued += n;
-	p->finished = !n;
-	if (!n || p->queued >= MAX_QUEUED_BYTES)
+	p->queued_bytes += n;
+	p->eof_read = !n;
+	if (!n || p->queued_bytes >= MAX_QUEUED_BYTES)
 		ev_io_stop(loop, w);
 	pump(p);
 }
@@ -171,23 +172,23 @@
 	pump(w->data);
 }
 
-static void pipe_init(struct proxy_link *l, enum proxy_direction direction,
-		      int from, int to)
+static void pipe_init(struct proxy_connection *conn,
+		      enum proxy_direction direction, int from, int to)
 {
-	struct pipe *p = &l->pipes[direction];
+	struct pipe *p = &conn->pipes[direction];
 
-	p->link = l;
+	p->connection = conn;
 	p->direction = direction;
 	p->from = from;
 	p->to = to;
 	g_queue_init(&p->chunks);
-	ev_io_init(&p->in, on_in, from, EV_READ);
-	ev_io_init(&p->out, on_out, to, EV_WRITE);
-	ev_init(&p->due, on_due);
-	p->in.data = p;
-	p->out.data = p;
-	p->due.data = p;
-	ev_io_start(l->proxy->loop, &p->in);
+	ev_io_init(&p->read_watcher, on_in, from, EV_READ);
+	ev_io_init(&p->write_watcher, on_out, to, EV_WRITE);
+	ev_init(&p->due_timer, on_due);
+	p->read_watcher.data = p;
+	p->write_watcher.data = p;
+	p->due_timer.data = p;
+	ev_io_start(conn->proxy->loop, &p->read_watcher);
 }
 
 static int new_socket(void)
@@ -199,7 +200,7 @@
 {
 	struct proxy *p = w->data;
 	int fd = accept4(w->fd, NULL, NULL, SOCK_NONBLOCK | SOCK_CLOEXEC);
-	struct proxy_link *l;
+	struct proxy_connection *conn;
 	int on = 1;
 	int to;
 
@@ -218,11 +219,11 @@
 	}
 	setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &on, sizeof(on));
 	setsockopt(to, IPPROTO_TCP, TCP_NODELAY, &on, sizeof(on));
-	l = g_new0(struct proxy_link, 1);
-	l->proxy = p;
-	pipe_init(l, PROXY_UP, fd, to);
-	pipe_init(l, PROXY_DOWN, to, fd);
-	g_ptr_array_add(p->links, l);
+	conn = g_new0(struct proxy_connection, 1);
+	conn->proxy = p;
+	pipe_init(conn, PROXY_UP, fd, to);
+	pipe_init(conn, PROXY_DOWN, to, fd);
+	g_ptr_array_add(p->connections, conn);
 }
 
 int proxy_init(struct proxy *p, struct ev_loop *loop, const char *listen_at,
@@ -245,35 +246,37 @@
 		return RESULT_IO;
 	}
 	p->loop = loop;
-	p->links = g_ptr_array_new();
+	p->connections = g_ptr_array_new();
 	ev_io_init(&p->accept, on_accept, fd, EV_READ);
 	p->accept.data = p;
 	ev_io_start(loop, &p->accept);
 	return RESULT_OK;
 }
 
-void proxy_reset(struct proxy *p)
+void proxy_reset_connections(struct proxy *p)
 {
-	while (p->links->len)
-		link_close(g_ptr_array_index(p->links, 0), true);
+	while (p->connections->len)
+		connection_close(g_ptr_array_index(p->connections, 0), true);
 }
 
-void proxy_delay(struct proxy *p, int64_t delay_ms)
+void proxy_set_delay(struct proxy *p, int64_t delay_ms)
 {
 	p->delay_ms = delay_ms;
 }
 
-void proxy_hold(struct proxy *p, bool up, bool down)
+void proxy_block(struct proxy *p, bool up, bool down)
 {
 	uint32_t i, d;
 
-	p->held[PROXY_UP] = up;
-	p->held[PROXY_DOWN] = down;
+	p->blocked[PROXY_UP] = up;
+	p->blocked[PROXY_DOWN] = down;
 	/* Backwards, for a link that closes makes way for the last one. */
-	for (i = p->links->len; i-- > 0;)
-		for (d = 0; d < PROXY_DIRECTIONS && i < p->links->len; d++) {
-			struct proxy_link *l = p->links->pdata[i];
+	for (i = p->connections->len; i-- > 0;)
+		for (d = 0; d < PROXY_DIRECTIONS && i < p->connections->len;
+		     d++) {
+			struct proxy_connection *conn =
+				p->connections->pdata[i];
 
-			pump(&l->pipes[d]);
+			pump(&conn->pipes[d]);
 		}
 }
--- a/t/soak/proxy.h
+++ b/t/soak/proxy.h
@@ -23,16 +23,16 @@
 	struct ev_loop *loop;
 	ev_io accept;
 	struct sockaddr_in to;
-	GPtrArray *links; /* struct proxy_link */
+	GPtrArray *connections; /* struct proxy_connection */
 	int64_t delay_ms;
-	bool held[PROXY_DIRECTIONS];
+	bool blocked[PROXY_DIRECTIONS];
 };
 
 /* Returns RESULT_OK, RESULT_INVALID for an address or RESULT_IO. */
 int proxy_init(struct proxy *p, struct ev_loop *loop, const char *listen_at,
 	       const char *to);
-void proxy_reset(struct proxy *p);
-void proxy_delay(struct proxy *p, int64_t delay_ms);
-void proxy_hold(struct proxy *p, bool up, bool down);
+void proxy_reset_connections(struct proxy *p);
+void proxy_set_delay(struct proxy *p, int64_t delay_ms);
+void proxy_block(struct proxy *p, bool up, bool down);
 
 #endif
--- a/t/t0003-data-centre.sh
+++ b/t/t0003-data-centre.sh
@@ -14,7 +14,7 @@
 }
 hakata_holds() { [ "$(field 0 shards_held)" -eq "$1" ] &&
 	[ "$(field 1 shards_held)" -eq "$1" ]; }
-knows_out() {
+all_know_out() {
 	local i
 	for i in $NODES; do
 		status_of "$i" | jq -e '.data_centres[] |
@@ -30,7 +30,7 @@
 echo "# out"
 briargrade data-centre --node "$(operator_of 2)" --reason "flood drill" \
 	out hakata | sed 's/[0-9]*$/N/'
-wait_for "all nodes to know" knows_out
+wait_for "all nodes to know" all_know_out
 wait_for "hakata to give up its shards" hakata_holds 0
 wait_for "records held elsewhere" all_held records 64
 before=$(served_in_hakata)
--- a/t/t0005-kill-owner.sh
+++ b/t/t0005-kill-owner.sh
@@ -18,15 +18,15 @@
 wait_for "load" sent_some
 kill_node "$owner"
 kill_node $booker
-gone() { members_are "$via" $((N - 2)); }
-wait_for "both to be expelled" gone
+both_expelled() { members_are "$via" $((N - 2)); }
+wait_for "both to be expelled" both_expelled
 echo "both expelled"
 wait_for "every shard of bookings" all_held bookings 64
 wait_for "every shard of records" all_held records 64
 code "http://$(caller_of 4)/records/frame-7"
 wait $load
 awk '{print $1}' "$DIR/ids" | sort | uniq -d | wc -l
-echo "ran twice: $(doubled | wc -l)"
+echo "ran twice: $(ran_twice | wc -l)"
 for i in $NODES; do
 	ask "http://$(backend_of "$i")/ledger" 2>/dev/null
 done | awk '{print $1}' | sort >"$DIR/ran"
--- a/t/t0006-freeze.sh
+++ b/t/t0006-freeze.sh
@@ -8,8 +8,8 @@
 owner=$(owner_index records frame-7)
 via=$(((owner + 1) % 4))
 kill -STOP "${NODE_PID[$owner]}"
-taken() { [ "$(owner_index records frame-7 $via)" != "$owner" ]; }
-wait_for "a successor" taken
+owner_changed() { [ "$(owner_index records frame-7 $via)" != "$owner" ]; }
+wait_for "a successor" owner_changed
 wait_for "all shards" all_held records 64
 code "http://$(caller_of $via)/records/frame-7"
 # Asked while it sleeps, it answers only after waking, and rightly.
--- a/t/t0007-cut.sh
+++ b/t/t0007-cut.sh
@@ -19,8 +19,8 @@
 cut 1
 no_lease() { [ "$(field "$owner" lease)" = false ]; }
 wait_for "its lease to lapse" no_lease
-taken() { [ "$(owner_index records frame-7 $via)" != "$owner" ]; }
-wait_for "a successor" taken
+owner_changed() { [ "$(owner_index records frame-7 $via)" != "$owner" ]; }
+wait_for "a successor" owner_changed
 code "http://$(caller_of $via)/records/frame-7"
 served() { ask "http://$(backend_of "$owner")/stats" | awk '$1=="served"{print $2}'; }
 before=$(served)
--- a/t/t0010-graceful-stop.sh
+++ b/t/t0010-graceful-stop.sh
@@ -22,6 +22,6 @@
 wait $a $b
 sed -n '1p' "$DIR/lookups"
 sed -n '1p' "$DIR/bookings"
-echo "ran twice: $(doubled | wc -l)"
+echo "ran twice: $(ran_twice | wc -l)"
 wait_for "the others" members_are 0 6
 grep -h -c 'stopped, nothing in progress' "$DIR/node-4.log" "$DIR/node-5.log"
--- a/t/t0011-out-then-log-down.sh
+++ b/t/t0011-out-then-log-down.sh
@@ -8,8 +8,8 @@
 briargrade data-centre --node "$(operator_of 2)" out hakata |
 	sed 's/[0-9]*$/N/'
 log_control down=1
-gave_up() { [ "$(field 0 shards_held)" -eq 0 ]; }
-wait_for "hakata to give up its shards" gave_up
+hakata_holds_none() { [ "$(field 0 shards_held)" -eq 0 ]; }
+wait_for "hakata to give up its shards" hakata_holds_none
 wait_for "records held elsewhere" all_held records 64
 served() { ask "http://$(backend_of 0)/stats" | awk '$1=="served"{print $2}'; }
 before=$(served)
--- a/t/t0013-unknown.sh
+++ b/t/t0013-unknown.sh
@@ -26,7 +26,7 @@
 code "http://$(caller_of $via)/bookings" -X POST -H 'Idempotency-Key: b-2' -d x
 echo "ran $(ledger b-2)"
 echo "# an id made after the loss is known to be new"
-made=$(printf '%012x' $((($(date +%s) + 3600) * 1000)))
-id="${made:0:8}-${made:8:4}-7cc3-98c4-dc0c0c07398f"
+id_time=$(printf '%012x' $((($(date +%s) + 3600) * 1000)))
+id="${id_time:0:8}-${id_time:8:4}-7cc3-98c4-dc0c0c07398f"
 code "http://$(caller_of $via)/bookings" -X POST -H "Idempotency-Key: $id" -d x
 echo "ran $(ledger "$id")"
--- a/t/t0017-platform-serve.sh
+++ b/t/t0017-platform-serve.sh
@@ -28,13 +28,13 @@
 	"match":{"path_prefix":"/list/new/"},"action":{"split":[
 	{"service":"records","weight":1},{"service":"bookings","weight":0}],
 	"timeout_ms":1500,"attempts":2}}'
-moved() { [ "$(call 5 GET /list/new/1 -o /dev/null)" = 400 ]; }
-wait_for "the new route" moved
+route_added() { [ "$(call 5 GET /list/new/1 -o /dev/null)" = 400 ]; }
+wait_for "the new route" route_added
 echo "in force"
 echo "# an older version does not come back"
 platform_config 8
 platform_config 11
-gone() { [ "$(call 5 GET /list/new/1 -o /dev/null)" = 200 ]; }
-wait_for "the route to go" gone
+route_removed() { [ "$(call 5 GET /list/new/1 -o /dev/null)" = 200 ]; }
+wait_for "the route to go" route_removed
 echo "misdirected $(for i in $NODES; do server_stat "$i" misdirected; done |
 	awk '{n+=$1} END{print n}')"
--- a/t/t0018-platform-node-killed.sh
+++ b/t/t0018-platform-node-killed.sh
@@ -7,10 +7,10 @@
 start_platform "records bookings" "hakata tenjin kurume kitakyu"
 platform_config 7
 wait_platform
-before=$(rows_of 0)
-restart_beside_server 0 3
-wait_beats 0 5
-[ "$(rows_of 0)" = "$before" ] && echo "the same rows"
+before=$(ranges_of 0)
+restart_node_beside_server 0 3
+wait_heartbeats 0 5
+[ "$(ranges_of 0)" = "$before" ] && echo "the same rows"
 echo "let go: $(server_stat 0 let_go)"
 for i in 2 4 6; do server_stat $i let_go; done | sort -u
 echo "keys held: $(keys_held)"
--- a/t/t0020-platform-new-life.sh
+++ b/t/t0020-platform-new-life.sh
@@ -8,8 +8,8 @@
 platform_config 7
 wait_platform
 for i in 1 3 5 7; do server_control $i work_ms=1000; done
-joined() { status_of 1 | jq -r '.members[] | select(.host == "host-1") | .id'; }
-before=$(joined)
+member_id() { status_of 1 | jq -r '.members[] | select(.host == "host-1") | .id'; }
+before=$(member_id)
 for n in 1 2 3 4 5 6; do
 	call 3 GET "/list/$n" -o /dev/null >>"$DIR/codes" &
 	waits="${waits:-} $!"
@@ -17,8 +17,8 @@
 busy() { [ "$(field 1 in_flight)" -ge 1 ] || [ "$(field 3 in_flight)" -ge 1 ]; }
 wait_for "work" busy
 for i in 1 3 5 7; do server_control $i crash=1; done
-anew() { [ "$(joined)" != "$before" ]; }
-wait_for "it to join anew" anew
+rejoined() { [ "$(member_id)" != "$before" ]; }
+wait_for "it to join anew" rejoined
 wait $waits
 sort "$DIR/codes" | uniq -c | sed 's/^ *//'
 for i in 1 3 5 7; do server_stat $i cancelled; done | awk '{n+=$1} END{print "broken off", n}'
--- a/t/t0022-platform-stop.sh
+++ b/t/t0022-platform-stop.sh
@@ -17,7 +17,7 @@
 ask -H "Host: a.example" -H "X-Mesh-Request-Id: long" \
 	-H "X-Mesh-Deadline-Ms: 9000" -o /dev/null -w 'in progress: %{http_code}\n' \
 	"http://$(caller_of 0)/slow/1" &
-asked=$!
+curl_pid=$!
 busy() { for i in 1 3 5 7; do [ "$(field $i in_flight)" -ge 1 ] && return; done; false; }
 wait_for "work" busy
 exec 3<>"/dev/tcp/127.0.0.1/$((BASE_PORT + 1))"
@@ -28,6 +28,6 @@
 printf 'X-Mesh-Request-Id: late\r\nX-Mesh-Deadline-Ms: 9000\r\n\r\n' >&3
 head -1 <&3 | tr -d '\r'
 exec 3>&-
-wait $asked
+wait $curl_pid
 wait "${NODE_PID[0]}" 2>/dev/null
 echo "late one ran $(ran late)"
--- a/t/t0023-platform-full-pipe.sh
+++ b/t/t0023-platform-full-pipe.sh
@@ -7,8 +7,8 @@
 mkfifo "$DIR/pipe"
 exec 5<>"$DIR/pipe"
 perl -e 'fcntl(STDIN, 1031, 4096) or die "pipe size: $!"' <&5
-mkfifo_node() { rm -f "$DIR/node-0.log"; ln -s "$DIR/pipe" "$DIR/node-0.log"; }
-mkfifo_node
+link_log_to_pipe() { rm -f "$DIR/node-0.log"; ln -s "$DIR/pipe" "$DIR/node-0.log"; }
+link_log_to_pipe
 start_platform "records bookings" "hakata tenjin kurume kitakyu"
 platform_config 7
 wait_platform
--- a/t/t0028-platform-grants-by-call.sh
+++ b/t/t0028-platform-grants-by-call.sh
@@ -9,23 +9,23 @@
 start_platform "records bookings" "hakata tenjin kurume kitakyu"
 platform_config 7
 wait_platform
-before=$(rows_of 0)
-gone=$(server_stat 0 let_go)
-restart_beside_server 0 3
+before=$(ranges_of 0)
+let_go_before=$(server_stat 0 let_go)
+restart_node_beside_server 0 3
 # A lease and more: what is still held then has been renewed.
-wait_beats 0 25
-[ "$(rows_of 0)" = "$before" ] && echo "the same rows"
-[ "$(server_stat 0 let_go)" = "$gone" ] && echo "none let go"
+wait_heartbeats 0 25
+[ "$(ranges_of 0)" = "$before" ] && echo "the same rows"
+[ "$(server_stat 0 let_go)" = "$let_go_before" ] && echo "none let go"
 echo "keys held: $(keys_held)"
 key=$(ask "http://$(backend_of 0)/rows" | jq '.[0][0]')
 call 3 GET /look/x -H "X-Mesh-Shard-Key: $key"
 server_control 0 late=3
-wait_beats 0 25
+wait_heartbeats 0 25
 echo "keys held: $(keys_held)"
-doubts() { ask "http://$(operator_of 0)/metrics" | awk '$1=="grants_in_doubt"{print $2}'; }
-[ "$(doubts)" -ge 3 ] && echo "three in doubt"
+n_in_doubt() { ask "http://$(operator_of 0)/metrics" | awk '$1=="grants_in_doubt"{print $2}'; }
+[ "$(n_in_doubt)" -ge 3 ] && echo "three in doubt"
 server_control 0 refuse=1
-wait_beats 0 25
+wait_heartbeats 0 25
 echo "keys held: $(keys_held)"
 call 5 GET /look/x -H "X-Mesh-Shard-Key: $key"
 echo "misdirected $(misdirected)"
--- a/t/t0030-platform-other-server.sh
+++ b/t/t0030-platform-other-server.sh
@@ -13,10 +13,10 @@
 	REQUEST_ID=no-$n call 1 POST "/book/$n" -o /dev/null
 done | sort | uniq -c | sed 's/^ *//'
 for n in $(seq 1 30); do ran no-$n; done | sort -u
-left() { [ "$(server_stat 1 misdirected)" -le 3 ]; }
-left || server_stat 1 misdirected; left && echo "not asked for long"
+is_avoided() { [ "$(server_stat 1 misdirected)" -le 3 ]; }
+is_avoided || server_stat 1 misdirected; is_avoided && echo "not asked for long"
 # Its heartbeats come again: another life, which joins and is used.
 server_control 1 mute=0
-again() { call 0 GET /list/x -o /dev/null >/dev/null && [ "$(server_stat 1 served)" -gt 0 ]; }
-wait_for "the new life to be used" again
+is_used_again() { call 0 GET /list/x -o /dev/null >/dev/null && [ "$(server_stat 1 served)" -gt 0 ]; }
+wait_for "the new life to be used" is_used_again
 echo "used again"
--- a/t/t0032-platform-newest-snapshot.sh
+++ b/t/t0032-platform-newest-snapshot.sh
@@ -20,8 +20,8 @@
 	wait "${NODE_PID[0]}" 2>/dev/null
 	[ "$1" = quiet ] || store_control hold=1
 	start_platform_node 0 records hakata
-	heard() { [ "$(counter 0 peer_messages_in)" -gt 3 ]; }
-	[ "$1" = quiet ] || wait_for "its peers to talk to it" heard
+	peers_sent_messages() { [ "$(counter 0 peer_messages_in)" -gt 3 ]; }
+	[ "$1" = quiet ] || wait_for "its peers to talk to it" peers_sent_messages
 	store_control hold=0
 	wait_for "it to join" members_are 0 "$N"
 	wait_for "its lease" has_lease 0
--- a/t/t0034-platform-stop-then-server-leaves.sh
+++ b/t/t0034-platform-stop-then-server-leaves.sh
@@ -16,7 +16,7 @@
 	-H "X-Mesh-Deadline-Ms: 9000" -H "X-Mesh-Shard-Key: $key" \
 	-o /dev/null -w 'in progress: %{http_code}\n' \
 	"http://$(caller_of 3)/slow/1" &
-asked=$!
+curl_pid=$!
 busy() { [ "$(field 0 in_flight)" -ge 1 ]; }
 wait_for "work" busy
 kill -TERM "${NODE_PID[0]}"
@@ -25,8 +25,8 @@
 server_control 0 drain=1
 closed() { ! (exec 4<>"/dev/tcp/127.0.0.1/$((BASE_PORT + 1))") 2>/dev/null; }
 wait_for "no new connections" closed
-jobs -r -p | grep -q "^$asked$" && echo "no callers while it still works" ||
+jobs -r -p | grep -q "^$curl_pid$" && echo "no callers while it still works" ||
 	echo "took callers until the work was done"
-wait $asked
+wait $curl_pid
 wait "${NODE_PID[0]}"
 echo "ended: $?"
--- a/t/t0035-platform-slow-link.sh
+++ b/t/t0035-platform-slow-link.sh
@@ -12,8 +12,8 @@
 done
 ask -o /dev/null -X POST "http://$LOG_ADDRESS/control?trickle_ms=6000"
 start_platform_node 0 records hakata
-current() { [ "$(field 0 applied)" -gt 0 ] && ask -f "http://$(ready_of 0)/-/readyz"; }
-wait_for "it to be ready" current
+is_caught_up() { [ "$(field 0 applied)" -gt 0 ] && ask -f "http://$(ready_of 0)/-/readyz"; }
+wait_for "it to be ready" is_caught_up
 # One may be lost to a busy machine; limits of 1, 2 and 4 s make it three.
 [ "$(counter 0 log_failures)" -le 1 ] && echo "read to its end" ||
 	echo "begun anew $(counter 0 log_failures) times"
--- a/t/t0038-platform-callers-leave-in-a-row.sh
+++ b/t/t0038-platform-callers-leave-in-a-row.sh
@@ -18,13 +18,13 @@
 exec 3>&-
 abandoned() { [ "$(total requests_abandoned)" -ge 1 ]; }
 wait_for "its leaving to be noticed" abandoned
-idle() {
+is_idle() {
 	local i
 	for i in $NODES; do
 		[ "$(field "$i" in_flight)" = 0 ] || return 1
 	done
 }
-wait_for "nothing to be in progress" idle
+wait_for "nothing to be in progress" is_idle
 # What comes next shows that the node has come round to it.
 call 0 GET /list/after >/dev/null
 echo "gates got: $(($(total gate_received) - 1)) of six"
--- a/t/t0042-platform-leaves-six-in-one.sh
+++ b/t/t0042-platform-leaves-six-in-one.sh
@@ -20,8 +20,8 @@
 	began() { [ "$(ran "row-$i-1")" = 1 ]; }
 	wait_for "the first to begin" began
 	exec 3>&-
-	quiet() { local i s=0; for i in $NODES; do s=$((s + $(field $i in_flight))); done; [ $s -eq 0 ]; }
-	wait_for "their end" quiet
+	is_idle() { local i s=0; for i in $NODES; do s=$((s + $(field $i in_flight))); done; [ $s -eq 0 ]; }
+	wait_for "their end" is_idle
 	for id in 2 3 4 5 6; do sum=$((sum + $(ran "row-$i-$id"))); done
 done
 echo "of 50 behind the first ran: $sum"
--- a/t/t0050-platform-late-asks.sh
+++ b/t/t0050-platform-late-asks.sh
@@ -24,16 +24,16 @@
 	fds+=($fd)
 	get "gone-$i" >&$fd
 done
-taken() { [ "$(counter 0 requests_received)" -ge $((before + $1)) ]; }
-wait_for "them to be sent" taken 12
-long() {
+received() { [ "$(counter 0 requests_received)" -ge $((before + $1)) ]; }
+wait_for "them to be sent" received 12
+send_long() {
 	for fd in "${fds[@]}"; do exec {fd}>&-; done
 	ask -X POST --data-binary @"$DIR/long" -o /dev/null -H "Host: a.example" \
 		-H "X-Mesh-Deadline-Ms: 20000" -H "X-Mesh-Request-Id: $1" \
 		-w '%{http_code}\n' "http://$(caller_of 0)/once/1"
 }
-for i in {1..12}; do long "long-$i" >"$DIR/long-$i" & sent+=($!); done
-wait_for "long ones behind them" taken 24
+for i in {1..12}; do send_long "long-$i" >"$DIR/long-$i" & sent+=($!); done
+wait_for "long ones behind them" received 24
 for fd in "${fds[@]}"; do exec {fd}>&-; done
 abandoned() { [ "$(counter 0 requests_abandoned)" -ge 12 ]; }
 wait_for "their leaving to be noticed" abandoned
--- a/t/t0057-platform-stop-tells-entries.sh
+++ b/t/t0057-platform-stop-tells-entries.sh
@@ -20,15 +20,15 @@
 wait "${NODE_PID[1]}"
 wait "${running[@]}"
 ask "http://$(backend_of 1)/ledger" >"$DIR/ledger"
-unbegun=0 late=0 told=0
+n_504_unbegun=0 n_504_late=0 n_504_begun=0
 for i in {1..120}; do
 	read -r status s <"$DIR/book-$i"
 	[ "$status" = 504 ] || continue
-	[ "$(ran "book-$i")" -ge 1 ] || unbegun=$((unbegun + 1))
+	[ "$(ran "book-$i")" -ge 1 ] || n_504_unbegun=$((n_504_unbegun + 1))
 	grep -q "^book-$i " "$DIR/ledger" || continue
-	told=$((told + 1))
+	n_504_begun=$((n_504_begun + 1))
 	# At the stop, some six seconds on; their own time is 20 s.
-	[ "${s%.*}" -lt 15 ] || late=$((late + 1))
+	[ "${s%.*}" -lt 15 ] || n_504_late=$((n_504_late + 1))
 done
-[ $told -ge 1 ] && echo "those begun there told 504"
-echo "late $late, others that were not begun $unbegun"
+[ $n_504_begun -ge 1 ] && echo "those begun there told 504"
+echo "late $n_504_late, others that were not begun $n_504_unbegun"
--- a/t/t0060-platform-where-requests-wait.sh
+++ b/t/t0060-platform-where-requests-wait.sh
@@ -19,12 +19,12 @@
 for i in 1 3 5 7; do server_control "$i" cold_ms=60000; done
 before=$(field 1 configuration_version)
 COLD_PER_S=1 platform_config 8
-newer() { [ "$(field 1 configuration_version)" -gt "$before" ]; }
-wait_for "a rate that few requests exceed" newer
-beat=$(server_stat 7 beats)
-heard() { [ "$(server_stat 7 beats)" -gt $((beat + 1)) ]; }
-wait_for "a heartbeat that says so" heard
-offered() {
+version_changed() { [ "$(field 1 configuration_version)" -gt "$before" ]; }
+wait_for "a rate that few requests exceed" version_changed
+n_before=$(server_stat 7 beats)
+heartbeats_sent() { [ "$(server_stat 7 beats)" -gt $((n_before + 1)) ]; }
+wait_for "a heartbeat that says so" heartbeats_sent
+some_retried() {
 	local k waits=
 	for k in $(seq 1 30); do
 		call 1 POST "/book/$k" -o /dev/null >/dev/null &
@@ -33,5 +33,5 @@
 	wait $waits
 	[ "$(counted again_ms)" -gt 0 ]
 }
-wait_for "a request that a second gate was asked for" offered
+wait_for "a request that a second gate was asked for" some_retried
 echo "refused before: $([ "$(counted in_vain_ms)" -gt 0 ] && echo yes)"
--- a/t/t0061-platform-stop-set-aside.sh
+++ b/t/t0061-platform-stop-set-aside.sh
@@ -19,10 +19,10 @@
 kill_node 0
 sleep 0.5
 for i in 1 3 5 7; do server_control $i hold=0; done
-set_aside() { for i in 1 3 5 7; do [ "$(counter $i gate_set_aside)" -ge 1 ] || continue; at=$i; return; done; false; }
+set_aside() { for i in 1 3 5 7; do [ "$(counter $i gate_set_aside)" -ge 1 ] || continue; node=$i; return; done; false; }
 wait_for "some to be set aside" set_aside
-kill -TERM "${NODE_PID[$at]}"
-wait "${NODE_PID[$at]}"
+kill -TERM "${NODE_PID[$node]}"
+wait "${NODE_PID[$node]}"
 status=$?
 wait "${running[@]}"
 echo "ended with $status"
--- a/t/t0063-platform-booking-lost-with-link.sh
+++ b/t/t0063-platform-booking-lost-with-link.sh
@@ -16,8 +16,8 @@
 		-H "X-Mesh-Request-Id: long-$i" -w '%{http_code}\n' \
 		"http://$(caller_of 0)/once/1" >"$DIR/long-$i" &
 done
-taken() { [ "$(counter 0 requests_received)" -ge $((before + 12)) ]; }
-wait_for "them to be sent" taken
+received() { [ "$(counter 0 requests_received)" -ge $((before + 12)) ]; }
+wait_for "them to be sent" received
 sleep 6
 for i in 1 3 5 7; do kill -CONT "${NODE_PID[$i]}"; done
 # Their own time is 20 s.
