--- a/t/soak/callers.c
+++ b/t/soak/callers.c
@@ -14,7 +14,7 @@
 #define MAX_LEAVE_DELAY_S 0.06
 #define NOT_RUN_STATUS 503
 #define NO_ROUTE_STATUS 404
-#define KEY_STEP 1021 /* spreads the keys that are looked up */
+#define KEY_STEP 1021 /* distance between the keys that are looked up */
 
 const char *const call_outcome_names[N_CALL_OUTCOMES] = {
 	"open", "answered", "refused", "unknown", "failed", "left",
@@ -41,7 +41,7 @@
 	c->body = NULL;
 }
 
-/* A backend server names the request in its answer and signs it. */
+/* An answer must name its request and carry the backend server's signature. */
 static void check_answer(struct call *c)
 {
 	g_autofree char *expected =
@@ -65,7 +65,7 @@
 		check_answer(c);
 		return CALL_ANSWERED;
 	}
-	/* Every version of the configuration has the routes asked for. */
+	/* Every published configuration has the routes that are called. */
 	if (c->status == NO_ROUTE_STATUS)
 		report_broken(c->callers->fleet,
 			      "configuration: node %u has no route for %s",
@@ -164,8 +164,9 @@
 }
 
 /*
- * While this process did not run, neither did its callers and proxies: that was
- * trouble for whatever was in progress.
+ * Clears strict for calls that were open at since_ms or later. While the soak's
+ * own process is stalled, its callers and proxies stall too, and calls may fail
+ * for that reason alone.
  */
 static void clear_strict_since(struct callers *cs, int64_t since_ms)
 {
--- a/t/soak/callers.h
+++ b/t/soak/callers.h
@@ -8,9 +8,10 @@
 #include "t/soak/fleet.h"
 
 /*
- * Callers of all nodes: lookups by key, bookings and lists at a steady rate.
- * They keep connections open, some leave before they are answered, and what
- * each was told is kept for the promises to be checked.
+ * Simulated callers: send lookups by key, bookings and lists to all nodes at a
+ * steady rate, over connections that are kept open. Some calls are cancelled
+ * before they are answered. The outcome of each call is recorded, so that
+ * promises.h can check it.
  */
 
 #define N_LOOKUP_KEYS 64
@@ -25,10 +26,10 @@
 enum call_outcome {
 	CALL_OPEN,
 	CALL_ANSWERED,
-	CALL_REFUSED, /* told that it did not run */
-	CALL_UNKNOWN, /* told that it may have run */
-	CALL_FAILED, /* no whole answer */
-	CALL_LEFT,
+	CALL_REFUSED, /* answered 503: did not run */
+	CALL_UNKNOWN, /* any other status: may have run */
+	CALL_FAILED, /* no complete answer */
+	CALL_LEFT, /* cancelled by the caller */
 	N_CALL_OUTCOMES,
 };
 
@@ -36,14 +37,18 @@
 	struct fetch fetch;
 	struct callers *callers;
 	char id[32];
-	char path[48]; /* path */
+	char path[48];
 	enum call_kind kind;
 	enum call_outcome outcome;
 	long status;
 	uint32_t node;
 	uint32_t key;
-	bool strict; /* only planned changes while it was open */
-	bool reported;
+	/*
+	 * Only planned changes happened while it was open. They must not cut it
+	 * off: its outcome is not unknown, and it does not run and then fail.
+	 */
+	bool strict;
+	bool reported; /* as a broken promise */
 	int64_t sent_at_ms, ended_at_ms;
 	ev_timer leave_timer;
 	GString *body;
@@ -59,17 +64,20 @@
 	uint64_t n_lookups;
 	uint64_t counts[N_CALL_OUTCOMES];
 	uint32_t n_open;
-	bool strict;
-	bool no_new_calls; /* sends nothing */
-	GPtrArray *calls; /* struct call, all */
-	int64_t answered_sent_at_ms[N_LOOKUP_KEYS]; /* sent when, newest
-						       answered */
+	bool strict; /* for new calls */
+	bool no_new_calls;
+	GPtrArray *calls; /* all since the start, struct call */
+	/* By key: when the latest answered lookup was sent. */
+	int64_t answered_sent_at_ms[N_LOOKUP_KEYS];
 };
 
 extern const char *const call_outcome_names[N_CALL_OUTCOMES];
 
 void callers_init(struct callers *c, struct fleet *f, uint32_t seed);
-/* Calls that are open count as strict no more when strict is false. */
+/*
+ * Sets strict for the calls that follow. False also clears it for the calls
+ * that are open.
+ */
 void callers_set_strict(struct callers *c, bool strict);
 
 #endif
--- a/t/soak/fault-soak.c
+++ b/t/soak/fault-soak.c
@@ -12,8 +12,9 @@
 #include "t/soak/promises.h"
 
 /*
- * Runs a fleet of real processes on loopback under faults drawn from a seed,
- * and checks what is promised from what callers and backend servers see.
+ * Runs a fleet of real processes on loopback under random faults drawn from a
+ * seed. Checks from the observations of callers and backend servers that the
+ * fleet keeps what it promises (promises.h).
  */
 
 #define STEP_MS 20
@@ -21,12 +22,13 @@
 #define UNPLANNED_PHASE_MS 8000
 #define SETTLE_TIMEOUT_MS 30000
 /*
- * Keys are served again within 3 s of a loss, and what lapsed while the store
- * was away 2 s after its return. When both end together, the loss may only be
- * noticed once a lease of 3 s has run out.
+ * Keys are served again within 3 s of the loss of a node. Keys whose leases
+ * lapsed while the store was down are served again within 2 s of its return.
+ * When both faults end together, the loss may not be noticed until a lease of
+ * 3 s has expired, so the times add up.
  */
 #define SERVED_TIMEOUT_MS 8000
-#define DRAIN_MS 6000 /* longer than any call waits */
+#define DRAIN_MS 6000 /* longer than the time-out of any call */
 #define MS_PER_MINUTE 60000
 
 struct soak {
@@ -143,7 +145,10 @@
 	promises_check_calls(&s->promises);
 }
 
-/* No more calls; then all that ran late has shown. */
+/*
+ * Stops sending calls and waits until those in flight have ended and late runs
+ * are in the ledgers, then checks all calls a last time.
+ */
 static void finish_calls(struct soak *s)
 {
 	g_autofree char *path = NULL;
@@ -234,7 +239,10 @@
 	signal(SIGINT, on_signal);
 	signal(SIGTERM, on_signal);
 	signal(SIGPIPE, SIG_IGN);
-	/* Without the default loop's handler, which reaps every process. */
+	/*
+	 * Not the default loop: its SIGCHLD handler reaps every child process,
+	 * which process_reap() must do.
+	 */
 	f->loop = ev_loop_new(EVFLAG_AUTO);
 	f->dir = g_dir_make_tmp("fault-soak.XXXXXX", NULL);
 	f->grants_by_call = seed % 2;
--- a/t/soak/faults.c
+++ b/t/soak/faults.c
@@ -12,8 +12,10 @@
 #define PLANNED_PHASE_MS 2000
 
 /*
- * begin returns false where it does not apply now; end returns false when it
- * is to be called again. Without an end, a fault is over at once.
+ * begin() returns false when the fault cannot be applied now; it is then
+ * dropped. end() returns false when it must be called again. A kind without
+ * end() is over as soon as it has begun. The weight is relative to the sum of
+ * all weights.
  */
 struct fault_kind {
 	const char *name;
@@ -252,7 +254,7 @@
 	struct proxy *link = &host_of(f, x)->links[x->link];
 
 	proxy_set_delay(link, 0);
-	/* Some connections do not outlive what befell them. */
+	/* In half the cases the connections break instead of continuing. */
 	if (x->random_bits / N_LINK_FAULTS % 2)
 		proxy_reset_connections(link);
 	proxy_block(link, false, false);
@@ -271,7 +273,7 @@
 	return done;
 }
 
-/* The bits of choice name the peers, or else all. */
+/* Cuts the links to each peer i whose bit i of random_bits is set. */
 static bool cut_peers(struct fleet *f, struct fault *x)
 {
 	uint32_t i;
@@ -289,8 +291,8 @@
 }
 
 /*
- * The process that was told to cut may have ended since; one that is paused is
- * told when it goes on.
+ * A process that was cut may have ended since and is skipped. A paused process
+ * cannot answer, so this is tried again until all are resumed.
  */
 static bool reconnect_peers(struct fleet *f, struct fault *x)
 {
--- a/t/soak/faults.h
+++ b/t/soak/faults.h
@@ -6,7 +6,10 @@
 
 #include "t/soak/fleet.h"
 
-/* Trouble, drawn from a seed: what, where, when and for how long. */
+/*
+ * A random schedule of faults, drawn from a seed: which kind, at which node or
+ * link, when and for how long.
+ */
 
 struct fault_kind;
 
@@ -14,28 +17,30 @@
 	const struct fault_kind *kind;
 	uint32_t node;
 	uint32_t link;
-	uint32_t random_bits; /* what else a kind may draw */
+	uint32_t random_bits; /* for a choice among variants of the kind */
 	int64_t begin_offset_ms,
 		end_offset_ms; /* from the start of the phase */
 	bool begun, ended;
-	char *description;
+	char *description; /* NULL: name of the kind and node */
 };
 
 struct faults {
 	struct fleet *fleet;
 	GRand *rand;
-	GPtrArray *all; /* struct fault */
+	GPtrArray *all; /* of this phase, struct fault */
 	int64_t phase_started_at_ms;
 };
 
 void faults_init(struct faults *s, struct fleet *f, uint32_t seed);
-/* Only what operators plan: stops, reloads, configurations. */
+/* Adds only planned changes: node stops, reloads and configurations. */
 void faults_draw_planned(struct faults *s);
+/* Adds faults of any kind that begin within duration_ms. */
 void faults_draw_unplanned(struct faults *s, int64_t duration_ms);
-/* Begin and end what is due; false when all have ended. */
+/* Begins and ends the faults that are due. Returns false when all have ended. */
 bool faults_step(struct faults *s);
+/* Removes all faults and starts a new phase. */
 void faults_clear(struct faults *s);
-/* A line on those that began. The caller frees it. */
+/* Returns a line that lists the faults that have begun. The caller frees it. */
 char *faults_describe(const struct faults *s);
 
 #endif
--- a/t/soak/fleet.c
+++ b/t/soak/fleet.c
@@ -17,7 +17,7 @@
 #define REQUEST_TIMEOUT_MS 1000
 #define N_KEYS 65536
 #define WITNESSES 3
-#define MAX_REPORTED 50 /* broken promises */
+#define MAX_REPORTED 50 /* later violations are only counted */
 
 enum port {
 	PORT_CALLERS = 1,
@@ -26,7 +26,7 @@
 	PORT_SERVER,
 	PORT_READY,
 	PORT_ANNOUNCE,
-	PORT_PROXIES, /* and those that follow, one for each line */
+	PORT_PROXIES, /* the first of N_LINKS, one for each link */
 };
 
 const char *const link_names[N_LINKS] = { "callers", "store", "server",
@@ -109,7 +109,7 @@
 	p->pid = fork();
 	if (p->pid)
 		return;
-	/* None outlives the soak, however that ends. */
+	/* The kernel kills the child when the soak ends for any reason. */
 	prctl(PR_SET_PDEATHSIG, SIGKILL);
 	fd = open(out, O_WRONLY | O_CREAT | O_APPEND, 0644);
 	if (fd < 0 || getppid() != parent)
--- a/t/soak/promises.c
+++ b/t/soak/promises.c
@@ -7,16 +7,16 @@
 #include "t/soak/promises.h"
 
 #define N_KEYS 65536
-/* A stop may take 5.6 s by the settings, and releases keys beside. */
+/* The settings allow 5.6 s for a stop; the release of keys adds to it. */
 #define STOP_TIMEOUT_MS 10000
 
-/* That a server came to hold keys, or with until_us 0 that it let them go. */
+/* A server began to hold keys, or released them if holds_until_us is 0. */
 struct holding {
 	int64_t changed_at_us;
-	int64_t first_key, last_key;
+	int64_t first_key, last_key; /* inclusive */
 	int64_t holds_until_us;
 	uint32_t server;
-	uint32_t number;
+	uint32_t number; /* in the order in which the server reports them */
 };
 
 void promises_init(struct promises *p, struct fleet *f, struct callers *c)
@@ -112,7 +112,10 @@
 	}
 }
 
-/* In the order of time, as far as all servers have told. */
+/*
+ * Checks holdings in order of time, up to the time until which those of every
+ * server have been read.
+ */
 static void apply_holdings(struct promises *p)
 {
 	int64_t complete_until_us = p->holdings_read_at_us[0];
@@ -134,7 +137,11 @@
 		g_array_remove_range(p->holdings, 0, i);
 }
 
-/* A process replays old versions when it starts, and uses none of them. */
+/*
+ * A starting process replays older versions but uses none of them until it is
+ * ready. From then on it must show at least the newest version that any node
+ * had shown when it was started.
+ */
 static int64_t oldest_allowed_version(struct promises *p,
 				      const struct node_host *h)
 {
@@ -247,7 +254,10 @@
 		return "true refusals";
 	if (c->outcome == CALL_ANSWERED && !ran)
 		return "answered by a server";
-	/* Not one that met a closed door, which may go elsewhere. */
+	/*
+	 * A failed call that did not run is allowed: the node had stopped
+	 * listening, and the caller may use another one.
+	 */
 	if (c->strict &&
 	    (c->outcome == CALL_UNKNOWN || (c->outcome == CALL_FAILED && ran)))
 		return "planned stops cut nothing";
@@ -267,7 +277,10 @@
 			g_hash_table_lookup(p->run_counts, c->id));
 		const char *promise;
 
-		/* One that ended since may have run where that was read. */
+		/*
+		 * A call that ended after began_ms may have run on a server
+		 * whose ledger had been read before.
+		 */
 		if (c->outcome == CALL_OPEN || c->reported ||
 		    c->ended_at_ms >= began_ms)
 			continue;
--- a/t/soak/proxy.c
+++ b/t/soak/proxy.c
@@ -14,7 +14,7 @@
 #define READ_BYTES 65536
 #define MAX_QUEUED_BYTES (4 * 1024 * 1024)
 
-/* An empty one stands for the end of the stream. */
+/* Data to forward. A chunk without bytes is the end of the stream. */
 struct chunk {
 	int64_t due_at_ms;
 	size_t n_sent;
@@ -30,8 +30,8 @@
 	ev_timer due_timer;
 	GQueue chunks;
 	size_t queued_bytes;
-	bool eof_read; /* its end was read */
-	bool eof_sent; /* and passed on */
+	bool eof_read;
+	bool eof_sent;
 };
 
 struct proxy_connection {
@@ -77,7 +77,7 @@
 	ev_timer_start(loop, &p->due_timer);
 }
 
-/* False when the link was closed. */
+/* Returns false when it has closed the connection, which frees p. */
 static bool send_chunk(struct pipe *p, struct chunk *c, bool *would_block)
 {
 	ssize_t n;
@@ -270,7 +270,10 @@
 
 	p->blocked[PROXY_UP] = up;
 	p->blocked[PROXY_DOWN] = down;
-	/* Backwards, for a link that closes makes way for the last one. */
+	/*
+	 * Backwards, since pump() may close a connection, and removing it moves
+	 * the last one to its place.
+	 */
 	for (i = p->connections->len; i-- > 0;)
 		for (d = 0; d < PROXY_DIRECTIONS && i < p->connections->len;
 		     d++) {
--- a/t/soak/proxy.h
+++ b/t/soak/proxy.h
@@ -8,14 +8,14 @@
 #include <netinet/in.h>
 
 /*
- * A TCP proxy on loopback that can delay what it carries, keep it back in one
- * direction or both, and reset its connections. What is kept back goes on, in
- * order, when the trouble ends, as TCP would send it again.
+ * A TCP proxy on loopback that can delay data, block it in one direction or
+ * both, and reset connections. Blocked data is queued and forwarded in order
+ * when the direction is unblocked, as TCP would retransmit it.
  */
 
 enum proxy_direction {
-	PROXY_UP, /* from who connects to who listens */
-	PROXY_DOWN,
+	PROXY_UP, /* from the connecting to the listening side */
+	PROXY_DOWN, /* from the listening to the connecting side */
 	PROXY_DIRECTIONS,
 };
 
@@ -28,11 +28,17 @@
 	bool blocked[PROXY_DIRECTIONS];
 };
 
-/* Returns RESULT_OK, RESULT_INVALID for an address or RESULT_IO. */
+/*
+ * Listens at listen_at and forwards connections to "to". Returns RESULT_OK,
+ * RESULT_INVALID for an invalid address, or RESULT_IO if it cannot listen.
+ */
 int proxy_init(struct proxy *p, struct ev_loop *loop, const char *listen_at,
 	       const char *to);
+/* Closes all connections with a reset (RST). */
 void proxy_reset_connections(struct proxy *p);
+/* Delays the data received from now on. */
 void proxy_set_delay(struct proxy *p, int64_t delay_ms);
+/* Blocks or unblocks each direction, for current and new connections. */
 void proxy_block(struct proxy *p, bool up, bool down);
 
 #endif
