--- a/t/t0001-serve.sh
+++ b/t/t0001-serve.sh
@@ -1,6 +1,7 @@
 #!/bin/bash
-# One whole path: a lookup, a booking sent twice, a download and refusals, over
-# separate processes, from a caller through two nodes to a backend server.
+# Requests of each kind travel from a caller through two nodes to a backend
+# server, each a separate process: a lookup, a booking that is sent again under
+# its id, a download, uploads and invalid input.
 . "$(dirname "$0")/lib.sh"
 start_log
 start_fleet "records bookings gallery archive" "hakata tenjin kurume kitakyu"
--- a/t/t0002-settings.sh
+++ b/t/t0002-settings.sh
@@ -1,5 +1,6 @@
 #!/bin/bash
-# Wrong settings are named with file and path, all at once, and nothing runs.
+# Invalid settings: all errors must be reported at once, with file and path, and
+# the program must not start to serve.
 . "$(dirname "$0")/lib.sh"
 cd "$DIR" || exit 1
 check() {
--- a/t/t0003-data-centre.sh
+++ b/t/t0003-data-centre.sh
@@ -1,6 +1,6 @@
 #!/bin/bash
-# A data centre is taken out of service and brought back. Callers notice
-# nothing; its backend servers get no new work while it is out.
+# A data centre is taken out of service and brought back. No caller may see a
+# failure, and its backend servers must get no new work while it is out.
 . "$(dirname "$0")/lib.sh"
 start_log
 start_fleet "records bookings" "hakata tenjin kurume kitakyu"
--- a/t/t0004-operators-race.sh
+++ b/t/t0004-operators-race.sh
@@ -1,6 +1,6 @@
 #!/bin/bash
-# Two operators publish from the same version at different nodes. One is told of
-# the conflict; the other's change is in force and stays.
+# Two operators publish at different nodes, both based on the same version. One
+# must be told of the conflict; the other's change must be in force and stay so.
 . "$(dirname "$0")/lib.sh"
 start_log
 start_fleet "records" "hakata tenjin kurume kitakyu"
--- a/t/t0005-kill-owner.sh
+++ b/t/t0005-kill-owner.sh
@@ -1,7 +1,7 @@
 #!/bin/bash
-# The process beside a backend server is killed under load. Callers see its keys
-# go unserved for a moment, and no booking runs twice or is told wrongly that it
-# did not run.
+# The nodes of two backend servers are killed under load. Their keys may be
+# unserved for a moment, but no booking may run twice, and none that ran may be
+# reported as not run.
 . "$(dirname "$0")/lib.sh"
 start_log
 start_fleet "records bookings" "hakata tenjin kurume kitakyu"
--- a/t/t0006-freeze.sh
+++ b/t/t0006-freeze.sh
@@ -1,6 +1,6 @@
 #!/bin/bash
-# An owner's process is frozen past its lease and returns. Meanwhile its
-# successor serves; on waking the old owner must notice before it serves again.
+# An owner's process is paused until its lease has lapsed and its successor
+# serves. When it resumes, it must notice the lapse before it serves again.
 . "$(dirname "$0")/lib.sh"
 start_log
 start_fleet "records" "hakata tenjin kurume kitakyu"
@@ -12,7 +12,7 @@
 wait_for "a successor" owner_changed
 wait_for "all shards" all_held records 64
 code "http://$(caller_of $via)/records/frame-7"
-# Asked while it sleeps, it answers only after waking, and rightly.
+# The paused owner reads these requests only when it resumes.
 for n in 1 2 3 4 5; do
 	ask -o /dev/null "http://$(caller_of "$owner")/records/frame-7" &
 done
--- a/t/t0007-cut.sh
+++ b/t/t0007-cut.sh
@@ -1,7 +1,7 @@
 #!/bin/bash
-# An owner is cut off from every other node while its backend server, the log and
-# its callers are well. It must stop serving its keys before others start, and
-# come back when the cut ends.
+# An owner is cut off from all other nodes, but not from its backend server, the
+# log and its callers. It must stop serving its keys before other nodes start to
+# serve them, and serve again when the cut ends.
 . "$(dirname "$0")/lib.sh"
 start_log
 start_fleet "records" "hakata tenjin kurume kitakyu"
--- a/t/t0008-log-down-loss.sh
+++ b/t/t0008-log-down-loss.sh
@@ -1,6 +1,7 @@
 #!/bin/bash
-# The log is down when an owner is lost. Its successor, named beforehand, takes
-# over without the log; when the log returns the change is written down.
+# An owner is lost while the log is down. Its successors, assigned beforehand,
+# must take over without the log, and the change must be recorded when the log
+# returns.
 . "$(dirname "$0")/lib.sh"
 start_log
 start_fleet "records" "hakata tenjin kurume kitakyu"
--- a/t/t0009-answers-lost.sh
+++ b/t/t0009-answers-lost.sh
@@ -1,6 +1,6 @@
 #!/bin/bash
-# The log takes a write and its answer is lost. The operator must learn that the
-# change is in force, and nothing may be written twice to effect.
+# The log accepts a write and its answer is lost. The operator must be told that
+# the change is in force, and the change must not be applied twice.
 . "$(dirname "$0")/lib.sh"
 start_log
 start_fleet "records" "hakata tenjin kurume kitakyu"
--- a/t/t0010-graceful-stop.sh
+++ b/t/t0010-graceful-stop.sh
@@ -1,6 +1,6 @@
 #!/bin/bash
-# A node is stopped as planned, under load. No request in progress is cut, and
-# its keys move without one caller seeing a failure.
+# Two nodes are stopped with SIGTERM under load. No request in flight may be cut
+# off, and their keys must move without a failure for any caller.
 . "$(dirname "$0")/lib.sh"
 start_log
 start_fleet "records bookings" "hakata tenjin kurume kitakyu"
--- a/t/t0011-out-then-log-down.sh
+++ b/t/t0011-out-then-log-down.sh
@@ -1,6 +1,7 @@
 #!/bin/bash
-# A data centre is taken out and the log goes down right after. The change must
-# spread from node to node and its shards must move all the same.
+# A data centre is taken out of service and the log goes down directly after.
+# The change must still spread from node to node, and the shards must still
+# move.
 . "$(dirname "$0")/lib.sh"
 start_log
 start_fleet "records" "hakata tenjin kurume kitakyu"
--- a/t/t0012-log-trimmed.sh
+++ b/t/t0012-log-trimmed.sh
@@ -1,7 +1,7 @@
 #!/bin/bash
 # The log keeps records for a limited time. A node that starts after the first
-# records are gone must find the state in a snapshot, and an old node that missed
-# what was trimmed must not go back.
+# records were trimmed must load the state from a snapshot, and a running node
+# that missed trimmed records must not go back to an older state.
 . "$(dirname "$0")/lib.sh"
 EXTRA_SETTINGS='"snapshot_interval_ms": 1000,'
 start_log
@@ -17,7 +17,7 @@
 wait_for "a snapshot" newer
 log_control "trim=$(($(snapshot_at) + 1))"
 [ "$(log_stat first)" -gt "$version" ] && echo "the configuration is trimmed"
-# Without peers to ask, the log is its only source.
+# Without seeds the new node has no peers to ask: the log is its only source.
 SEED_LIST= start_node 4 records kurume
 start_backend 4
 N=5
--- a/t/t0013-unknown.sh
+++ b/t/t0013-unknown.sh
@@ -1,6 +1,7 @@
 #!/bin/bash
-# A backend server runs a booking and its connection breaks before the answer.
-# The caller is told "unknown", and sending the booking again does not run it.
+# A backend server runs a booking, and its connection breaks before the answer.
+# The caller must be told "unknown", and sending the booking again must not run
+# it a second time.
 . "$(dirname "$0")/lib.sh"
 start_log
 start_fleet "bookings" "hakata tenjin kurume kitakyu"
--- a/t/t0014-backend-leaves.sh
+++ b/t/t0014-backend-leaves.sh
@@ -1,6 +1,6 @@
 #!/bin/bash
-# A backend server leaves and comes back cold. It gets no new work once it has
-# left, and on return no more than a cold server bears.
+# A backend server leaves and returns with a cold cache. It must get no new work
+# after it has left, and no more than a cold server can serve after its return.
 . "$(dirname "$0")/lib.sh"
 start_log
 start_fleet "records archive" "hakata tenjin kurume kitakyu"
--- a/t/t0015-refusal.sh
+++ b/t/t0015-refusal.sh
@@ -1,6 +1,6 @@
 #!/bin/bash
-# More work comes for one key than its backend server can do in time. What is
-# refused is told "not run" with a time to come back, and it did not run.
+# A backend server cannot serve all requests for one key in time. Those refused
+# must be told "not run" with a time for the retry, and must not have run.
 . "$(dirname "$0")/lib.sh"
 start_log
 start_fleet "records" "hakata tenjin kurume kitakyu" --slots 1 --work-ms 300
--- a/t/t0016-leaves-under-work.sh
+++ b/t/t0016-leaves-under-work.sh
@@ -1,8 +1,7 @@
 #!/bin/bash
 # A backend server leaves while it still works on long requests without a key.
-# Their callers wait for answers that are being made; a node that broke them off
-# because the member is gone would answer "unknown" instead, and the work would
-# be lost.
+# Their callers must get the answers. A node that cancelled them because the
+# member has been removed would answer "unknown", and the work would be lost.
 . "$(dirname "$0")/lib.sh"
 EXTRA_SETTINGS='"hedge": false,'
 start_log
--- a/t/t0017-platform-serve.sh
+++ b/t/t0017-platform-serve.sh
@@ -1,7 +1,7 @@
 #!/bin/bash
 # A fleet on the users' platform from its first start: configuration from the
-# store, keys dealt out by heartbeats, requests by host, path and key, and what
-# callers get when a request is at fault.
+# store, keys granted by heartbeats, requests routed by host, path and key, and
+# the answers to invalid requests.
 . "$(dirname "$0")/lib-platform.sh"
 start_platform "records bookings" "hakata tenjin kurume kitakyu"
 echo "ready without a configuration: $(ask -o /dev/null -w '%{http_code}' \
--- a/t/t0018-platform-node-killed.sh
+++ b/t/t0018-platform-node-killed.sh
@@ -1,8 +1,8 @@
 #!/bin/bash
-# A node is killed and started again while the backend server beside it lives.
-# The server goes on holding its keys; the new process must take them up before
-# their time runs out. Moved away instead they would be served late, cold at
-# another server, and move back again.
+# A node is killed and started again while its backend server keeps running and
+# holds its keys. The new process must take the keys over before their grants
+# expire. Otherwise they move to another server, are served late there from a
+# cold cache, and move back again.
 . "$(dirname "$0")/lib-platform.sh"
 start_platform "records bookings" "hakata tenjin kurume kitakyu"
 platform_config 7
--- a/t/t0019-platform-mixed.sh
+++ b/t/t0019-platform-mixed.sh
@@ -1,8 +1,8 @@
 #!/bin/bash
-# A backend server sends answers that are not what they should be: one that
-# belongs to another request, one without its signature, none at all after the
-# work is done. A caller must get none of these as its own, a lookup is tried
-# elsewhere, and a booking is not, for it may have run.
+# A backend server sends bad answers: one that belongs to another request, one
+# without its signature, or none at all after the work is done. No caller may
+# get such an answer as its own. A lookup must be retried elsewhere; a booking
+# must not be, since it may have run.
 . "$(dirname "$0")/lib-platform.sh"
 start_platform "records bookings" "hakata tenjin kurume kitakyu"
 platform_config 7
--- a/t/t0020-platform-new-life.sh
+++ b/t/t0020-platform-new-life.sh
@@ -1,8 +1,8 @@
 #!/bin/bash
-# A backend server reports a new life while its host still answers for requests
-# of before, so its node joins anew. That the member is replaced does not mean
-# that its process is gone: entries that took it for dead would break off work
-# that is being done.
+# A backend server reports a new instance while it still works on requests sent
+# before, so its node joins the fleet as a new member. The removal of the old
+# member does not mean that its process has ended: entries that assumed so would
+# cancel requests in flight.
 . "$(dirname "$0")/lib-platform.sh"
 start_platform "records bookings" "hakata tenjin kurume kitakyu"
 platform_config 7
--- a/t/t0021-platform-trace.sh
+++ b/t/t0021-platform-trace.sh
@@ -1,13 +1,13 @@
 #!/bin/bash
-# Three requests fail, each for another reason, and the logs alone must tell
-# which: refused though servers had room, lost around a node's restart, and a
-# booking of which nobody knows whether it ran.
+# Three requests fail, each for a different reason, and the logs alone must show
+# which: one is refused although servers had free slots, one is lost in the
+# restart of a node, and for one booking it is unknown whether it ran.
 EXTRA_SETTINGS='"log_format": "json",'
 . "$(dirname "$0")/lib-platform.sh"
 start_platform "records bookings" "hakata tenjin kurume kitakyu"
 platform_config 7
 wait_platform
-# failure_events ID: the events of a request without what differs from run to run.
+# failure_events ID: how a request failed, without what differs between runs.
 failure_events() {
 	briargrade trace "$1" "$DIR"/node-*.log | sed -E '
 		s/^ *[+-][0-9]+ ms +//
--- a/t/t0022-platform-stop.sh
+++ b/t/t0022-platform-stop.sh
@@ -1,8 +1,9 @@
 #!/bin/bash
-# A node is asked to stop and waits for a long request. Another one, begun on an
-# open connection before, comes in whole only now. Taken up it would be cut when
-# the process ends, though a server works on it; it must be told at once that it
-# did not run, and the one in progress must be answered.
+# A node is stopped while it works on a long request. A second request, sent in
+# part before the stop on an open connection, is completed after it. If the node
+# accepted the second one, it would be cut off when the process ends, although a
+# server works on it. It must be refused as not run at once, and the long
+# request must be answered.
 . "$(dirname "$0")/lib-platform.sh"
 start_platform "records bookings" "hakata tenjin kurume kitakyu"
 platform_config 7
--- a/t/t0023-platform-full-pipe.sh
+++ b/t/t0023-platform-full-pipe.sh
@@ -1,7 +1,7 @@
 #!/bin/bash
-# Whoever reads a node's standard output has stopped reading, and the pipe is
-# full. A node that waited for it would stop answering its callers; lines are
-# dropped instead, and counted.
+# The reader of a node's standard output has stopped reading, and the pipe is
+# full. A node that blocked on the write would stop answering its callers. It
+# must drop log lines instead, and count them.
 EXTRA_SETTINGS='"log_format": "json",'
 . "$(dirname "$0")/lib-platform.sh"
 mkfifo "$DIR/pipe"
--- a/t/t0024-platform-out-alone.sh
+++ b/t/t0024-platform-out-alone.sh
@@ -1,7 +1,7 @@
 #!/bin/bash
-# Operators take a data centre out of service, and nobody elsewhere can take its
-# keys. Its servers must get no more work all the same: operators may be about to
-# turn them off. Back in, they serve again.
+# Operators take a data centre out of service, and no other one has servers for
+# its keys. Its servers must still get no more work, as operators may be about
+# to turn them off. Back in service, they must serve again.
 . "$(dirname "$0")/lib-platform.sh"
 start_platform "records bookings" "hakata"
 platform_config 7
--- a/t/t0025-platform-fresh-node.sh
+++ b/t/t0025-platform-fresh-node.sh
@@ -1,8 +1,8 @@
 #!/bin/bash
-# A process starts anew while operators have published several times, and takes
-# what it lacks from its peers in pieces. A caller who asks for a route of the
-# newest configuration while only older ones have arrived must be told that the
-# request did not run and to come back; told 404, it would give up for good.
+# A process starts after operators have published several times, and gets the
+# records from its peers in pieces. While only older configurations have
+# arrived, a caller that asks for a route of the newest one must be told "not
+# run", so that it retries. After a 404 it would give up for good.
 . "$(dirname "$0")/lib-platform.sh"
 start_platform "records bookings" "hakata tenjin kurume kitakyu"
 filler=$(for i in $(seq 700); do
--- a/t/t0026-platform-deaf-reads.sh
+++ b/t/t0026-platform-deaf-reads.sh
@@ -1,8 +1,8 @@
 #!/bin/bash
-# Every read that waits at the store goes silent for good, and so does each
-# node's only way to hear of news, though new connections work. An operator's
-# next change must be in force within seconds, and not only when the longest
-# wait of those reads is over.
+# Every long poll at the store stalls for good, and so does each node's only
+# source of new records, though new connections work. The next change of an
+# operator must still be in force within seconds, not only when the longest of
+# those polls times out.
 . "$(dirname "$0")/lib-platform.sh"
 start_platform "records bookings" "hakata tenjin kurume kitakyu"
 operators_version() {
@@ -16,7 +16,7 @@
 }
 platform_config 7
 wait_platform
-# News ends every read that waits, so all of those that follow are young.
+# A new record ends all waiting reads, so those that follow have just begun.
 platform_config 8
 wait_for "version 8" in_force_everywhere 8
 ask -o /dev/null -X POST "http://$LOG_ADDRESS/control?deaf=1"
--- a/t/t0027-platform-sent-ahead.sh
+++ b/t/t0027-platform-sent-ahead.sh
@@ -1,9 +1,9 @@
 #!/bin/bash
-# A caller sends three slow lookups one after the other on one connection,
-# without waiting for answers. Served in turn, the third takes three times as
-# long as one. They must be worked on together, be answered in their order, and
-# each answer be the one to its own request. One that may not be repeated waits
-# for its turn, since its caller sends it again if the connection ends before.
+# A caller pipelines three slow lookups on one connection. Served one after the
+# other, the third would take three times as long as one. They must be worked on
+# together and answered in their order, each with its own answer. A request that
+# may not be repeated must wait for its turn, since the caller sends it again if
+# the connection ends before.
 . "$(dirname "$0")/lib-platform.sh"
 start_platform "records bookings" "hakata tenjin kurume kitakyu"
 platform_config 7
@@ -42,8 +42,9 @@
 exec 3>&-
 echo "and after the third, once: $(ran four)"
 
-# Two in one piece: the second is out of sight until the first is answered, and
-# one that comes later is not, and must not begin twice.
+# Two requests in one segment: the node does not see the second until it has
+# answered the first. It does see one that arrives later, and must not start it
+# twice.
 exec 3<>"/dev/tcp/127.0.0.1/$((BASE_PORT + 1))"
 { get six; get seven; } | cat >&3
 wait_for "the first to begin" in_progress 1
--- a/t/t0028-platform-grants-by-call.sh
+++ b/t/t0028-platform-grants-by-call.sh
@@ -1,9 +1,10 @@
 #!/bin/bash
-# Backend servers are told what they hold by calls. A node is killed and started
-# again while its server lives: the new process must go on renewing what the one
-# before granted. Let go, the keys would be served late and come back cold.
-# Then calls go unanswered and are carried out late, or are refused under a
-# fence that is too low: the keys stay held, and no request is turned away.
+# Backend servers are granted their keys by calls. A node is killed and started
+# again while its server keeps running: the new process must go on renewing what
+# the previous process granted. Released keys would be served late and from a
+# cold cache. Then calls are not answered and are applied late, or are refused
+# because their fence is too low: the keys must stay held, and no request may be
+# refused.
 GRANTS=call
 . "$(dirname "$0")/lib-platform.sh"
 start_platform "records bookings" "hakata tenjin kurume kitakyu"
@@ -12,7 +13,7 @@
 before=$(ranges_of 0)
 let_go_before=$(server_stat 0 let_go)
 restart_node_beside_server 0 3
-# A lease and more: what is still held then has been renewed.
+# More than a lease, so that what is still held then has been renewed.
 wait_heartbeats 0 25
 [ "$(ranges_of 0)" = "$before" ] && echo "the same rows"
 [ "$(server_stat 0 let_go)" = "$let_go_before" ] && echo "none let go"
--- a/t/t0029-model.sh
+++ b/t/t0029-model.sh
@@ -1,8 +1,9 @@
 #!/bin/bash
-# What a fleet would serve under a load, by the code that decides in a node, in
-# virtual time: an overload that lasts, with two policies beside each other. A
-# run repeats exactly. Then experiments that are wrong: each problem is told
-# with its place, or somebody would compare what was never run.
+# The model computes in virtual time, with the decision code of the nodes, what
+# a fleet would serve in a lasting overload under two policies. A run must
+# repeat exactly. In an invalid experiment each problem must be reported with
+# its place; otherwise someone would compare results of an experiment that was
+# never run.
 . "$(dirname "$0")/lib.sh"
 cat >"$DIR/overload.json" <<JSON
 {"seconds": 10, "link_ms": 0.5, "seeds": [1, 2], "services": [
@@ -18,7 +19,7 @@
 JSON
 "$BIN/briargrade" model "$DIR/overload.json" 2>/dev/null >"$DIR/first"
 "$BIN/briargrade" model "$DIR/overload.json" 2>/dev/null | cmp - "$DIR/first" && echo "repeats"
-# Shares to two digits, so that another machine's arithmetic changes nothing.
+# Shares are rounded to two digits, as floating point differs between machines.
 awk 'NR>1 && NF>=9 && $2!="earned" {printf "%s %s in %.2f late %.2f refused %.2f failed %.2f\n",$1,$2,$4,$5,$6,$7}' "$DIR/first"
 jq -n '{seconds: 1, services: [{name: "a", servres: 2}], classes: [{name: "x", service: "b", target_ms: 1}],
  policies: [{name: "p", choice: "best"}], faults: [{kind: "fire"}]}' >"$DIR/wrong.json"
--- a/t/t0030-platform-other-server.sh
+++ b/t/t0030-platform-other-server.sh
@@ -1,8 +1,9 @@
 #!/bin/bash
-# A backend server ends, and another one is at its address before the node beside
-# it has heard. That one turns away whatever names the other, by the status alone.
-# Callers would be handed that answer, one after the other, until a heartbeat came;
-# they must be served elsewhere instead, and nothing must run twice.
+# A backend server restarts, and its node has not yet received a heartbeat of
+# the new instance. The new instance rejects requests that name the previous
+# one, by status alone. Until a heartbeat arrived, callers would get that status
+# one after the other. They must be served by other servers, and nothing may run
+# twice.
 . "$(dirname "$0")/lib-platform.sh"
 start_platform "records bookings" "hakata tenjin"
 platform_config 7
@@ -15,7 +16,7 @@
 for n in $(seq 1 30); do ran no-$n; done | sort -u
 is_avoided() { [ "$(server_stat 1 misdirected)" -le 3 ]; }
 is_avoided || server_stat 1 misdirected; is_avoided && echo "not asked for long"
-# Its heartbeats come again: another life, which joins and is used.
+# Heartbeats resume: the new instance joins the fleet and gets requests.
 server_control 1 mute=0
 is_used_again() { call 0 GET /list/x -o /dev/null >/dev/null && [ "$(server_stat 1 served)" -gt 0 ]; }
 wait_for "the new life to be used" is_used_again
--- a/t/t0031-platform-killed-after-change.sh
+++ b/t/t0031-platform-killed-after-change.sh
@@ -1,8 +1,8 @@
 #!/bin/bash
-# An operator adds a route, and every process is killed before one of them has
-# made a record of the change. Those that follow read the fleet's log to its end
-# and know of the route from the operators' stream alone. Callers who ask for it
-# must be told to come back; told 404, they would give up for good.
+# An operator adds a route, and every process is killed before any of them has
+# recorded the change in the fleet's log. The new processes read the log to its
+# end and know of the route only from the operators' stream. Callers that ask
+# for the route must be told to retry. After a 404 they would give up for good.
 . "$(dirname "$0")/lib-platform.sh"
 start_platform "records bookings" "hakata tenjin kurume kitakyu"
 platform_config 1
--- a/t/t0032-platform-newest-snapshot.sh
+++ b/t/t0032-platform-newest-snapshot.sh
@@ -1,7 +1,8 @@
 #!/bin/bash
-# A process starts while its peers already talk to it and the log is long. It
-# must begin with the newest state there is. From the oldest snapshot, or from the
-# first record, it would replay for seconds on a small host, unready.
+# A process starts while its peers already send messages to it and the log is
+# long. It must start from the newest snapshot. From the oldest snapshot, or
+# from the first record, it would replay for seconds on a small host before it
+# is ready.
 export SNAPSHOT_RECORDS=8
 . "$(dirname "$0")/lib-platform.sh"
 start_platform "records bookings" "hakata tenjin kurume kitakyu"
@@ -14,7 +15,7 @@
 	platform_config "$v"
 	wait_for "version $v" in_force "$v"
 done
-# restart WHAT: then how much it replayed.
+# restart WHAT: restart node 0 and print how many records it replayed.
 restart() {
 	kill -KILL "${NODE_PID[0]}"
 	wait "${NODE_PID[0]}" 2>/dev/null
--- a/t/t0033-model-thin-link.sh
+++ b/t/t0033-model-thin-link.sh
@@ -1,8 +1,9 @@
 #!/bin/bash
-# Photographs go out over links that carry two thirds of what callers ask for.
-# Begun all the same they queue at the link, and nearly all are late, those that
-# could have been in time as well. As many as fit must be in time, and the others
-# told at once; short answers over the same links must not wait behind them.
+# Photographs are sent over links that carry two thirds of the load. If all were
+# begun, they would queue at the link and nearly all be late, also those that
+# could have been in time. As many as fit must be in time and the others be
+# refused at once, and short answers over the same links must not wait behind
+# photographs.
 . "$(dirname "$0")/lib.sh"
 cat >"$DIR/thin.json" <<JSON
 {"seconds": 30, "link_ms": 0.5, "seeds": [1, 2], "services": [
@@ -16,7 +17,7 @@
  "policies": [{"name": "soonest"}]}
 JSON
 "$BIN/briargrade" model "$DIR/thin.json" --json 2>/dev/null >"$DIR/out"
-# in_target CLASS: the least share over the seeds.
+# in_target CLASS: share of answers in time, the lowest of all seeds.
 in_target() {
 	jq --arg c "$1" '[.[].classes[] | select(.class == $c) |
 		.in_target / .asked] | min' "$DIR/out"
--- a/t/t0034-platform-stop-then-server-leaves.sh
+++ b/t/t0034-platform-stop-then-server-leaves.sh
@@ -1,9 +1,9 @@
 #!/bin/bash
-# A node is asked to stop beside a server that goes on, and then the server says
-# that it leaves as well, while it works on a long request. Callers who are still
-# let in until the keys have been given away are cut off when the node's time is
-# over; it must stop taking them once the platform has noticed that it is not
-# ready, and end when all is answered.
+# A node is stopped while its server keeps running; then the server drains as
+# well, while it works on a long request. If the node accepted callers until all
+# keys have been released, it would cut them off at its stop limit. It must stop
+# accepting connections once the platform has noticed that it is not ready, and
+# exit when all requests are answered.
 . "$(dirname "$0")/lib-platform.sh"
 start_platform "records bookings" "hakata tenjin kurume kitakyu"
 platform_config 7 ',{"name":"slow","kind":"safe","goal_ms":400,"priority":2,
--- a/t/t0036-platform-many-routes.sh
+++ b/t/t0036-platform-many-routes.sh
@@ -1,7 +1,7 @@
 #!/bin/bash
-# Operators publish a configuration of 1,700 routes. It must come into force like
-# any other. As one record of plain text it is longer than the store takes, and
-# callers of the new routes would be told 404 for good.
+# Operators publish a configuration of 1,700 routes. As one plain text record it
+# exceeds the store's record size, and callers of the new routes would be told
+# 404 for good. It must come into force like any other.
 . "$(dirname "$0")/lib-platform.sh"
 start_platform "records bookings" "hakata tenjin kurume kitakyu"
 platform_config 1
@@ -17,7 +17,7 @@
 }
 LIMIT_S=20 wait_for "the many routes" in_force
 call 0 GET /route-1700/1 -o /dev/null
-# A process that starts reads them back.
+# A process that starts must read them back.
 kill -KILL "${NODE_PID[0]}"
 wait "${NODE_PID[0]}" 2>/dev/null
 start_platform_node 0 records hakata
--- a/t/t0038-platform-callers-leave-in-a-row.sh
+++ b/t/t0038-platform-callers-leave-in-a-row.sh
@@ -1,5 +1,6 @@
 #!/bin/bash
-# A caller sends six lookups in one piece and leaves while the first is worked on: no other goes to a gate.
+# A caller pipelines six lookups in one segment and leaves while the first is
+# worked on. None of the others may be sent to a gate.
 . "$(dirname "$0")/lib-platform.sh"
 start_platform "records bookings" "hakata tenjin kurume kitakyu"
 platform_config 7 ',{"name":"slow","kind":"safe","goal_ms":400,"priority":2,
@@ -25,6 +26,6 @@
 	done
 }
 wait_for "nothing to be in progress" is_idle
-# What comes next shows that the node has come round to it.
+# Once this request is answered, the node has handled the events before it.
 call 0 GET /list/after >/dev/null
 echo "gates got: $(($(total gate_received) - 1)) of six"
--- a/t/t0039-fault-soak.sh
+++ b/t/t0039-fault-soak.sh
@@ -1,5 +1,6 @@
 #!/bin/bash
-# Half a minute of real processes under faults drawn from one seed.
+# Runs real processes for half a minute under random faults, drawn from one
+# seed.
 . "$(dirname "$0")/lib.sh"
 "$BIN/fault-soak" --seed 39 --minutes 0.5 --port "$BASE_PORT" --bin "$BIN" \
 	>"$DIR/soak" || cat "$DIR/soak" >&2
--- a/t/t0040-platform-unread-after-leaving.sh
+++ b/t/t0040-platform-unread-after-leaving.sh
@@ -1,5 +1,6 @@
 #!/bin/bash
-# Lookups are read only after their callers have left: none may be begun.
+# Lookups are sent, and their callers leave, while the node is paused, so that
+# it reads them only afterwards. None may be started.
 . "$(dirname "$0")/lib-platform.sh"
 start_platform "records bookings" "hakata tenjin kurume kitakyu"
 platform_config 7
--- a/t/t0041-platform-cancelled-on-the-way.sh
+++ b/t/t0041-platform-cancelled-on-the-way.sh
@@ -1,5 +1,6 @@
 #!/bin/bash
-# Lookups reach their gates a second late, with their cancels behind long bodies: none may be begun.
+# Lookups reach paused gates about a second late, and their cancellations are
+# queued on the links behind long bodies. None of the lookups may be started.
 COLD_PER_S=1000
 . "$(dirname "$0")/lib-platform.sh"
 start_platform "records bookings" "hakata tenjin kurume kitakyu"
--- a/t/t0042-platform-leaves-six-in-one.sh
+++ b/t/t0042-platform-leaves-six-in-one.sh
@@ -1,5 +1,6 @@
 #!/bin/bash
-# A caller sends six lookups in one piece and leaves while the first is worked on: no other may be begun.
+# A caller pipelines six lookups in one segment and leaves while the first is
+# worked on. None of the others may be started.
 . "$(dirname "$0")/lib-platform.sh"
 start_platform "records bookings" "hakata tenjin kurume kitakyu"
 platform_config 7 ',{"name":"slow","kind":"safe","goal_ms":20000,"priority":2,
--- a/t/t0043-platform-row-leaves-queue.sh
+++ b/t/t0043-platform-row-leaves-queue.sh
@@ -1,5 +1,6 @@
 #!/bin/bash
-# Lookups sent in a row wait at gates behind long work and their callers leave: none may be begun.
+# Pipelined lookups are queued at gates behind long work, and their callers
+# leave. None of them may be started.
 . "$(dirname "$0")/lib-platform.sh"
 start_platform "records bookings" "hakata tenjin kurume kitakyu"
 platform_config 7 ',{"name":"slow","kind":"safe","goal_ms":20000,"priority":2,
--- a/t/t0044-platform-entry-killed-queue.sh
+++ b/t/t0044-platform-entry-killed-queue.sh
@@ -1,5 +1,6 @@
 #!/bin/bash
-# Lookups wait at gates behind long work and the entry that sent them is killed: none may be begun.
+# Lookups are queued at gates behind long work, and the entry that sent them is
+# killed. None of them may be started.
 . "$(dirname "$0")/lib-platform.sh"
 start_platform "records bookings" "hakata tenjin kurume kitakyu"
 platform_config 7 ',{"name":"slow","kind":"safe","goal_ms":20000,"priority":2,
--- a/t/t0045-platform-leaves-stalled-answer.sh
+++ b/t/t0045-platform-leaves-stalled-answer.sh
@@ -1,5 +1,6 @@
 #!/bin/bash
-# A caller leaves while an answer has stalled halfway: the lookup behind it must be cancelled, too.
+# A caller pipelines two lookups and leaves while the answer to the first has
+# stalled halfway. The second lookup must be cancelled, too.
 . "$(dirname "$0")/lib-platform.sh"
 start_platform "records bookings" "hakata tenjin kurume kitakyu"
 platform_config 7 ',{"name":"slow","kind":"safe","goal_ms":20000,"priority":2,
--- a/t/t0046-platform-half-closed-booking.sh
+++ b/t/t0046-platform-half-closed-booking.sh
@@ -1,5 +1,6 @@
 #!/bin/bash
-# A caller that has shut down only its sending side is not told "not run" of a booking that runs.
+# A caller shuts down only its sending side. It must not be told "not run" of a
+# booking that runs.
 . "$(dirname "$0")/lib-platform.sh"
 start_platform "records bookings" "hakata tenjin kurume kitakyu"
 platform_config 7 ',{"name":"slow","kind":"unsafe","goal_ms":20000,"priority":1,
--- a/t/t0047-platform-left-before-look.sh
+++ b/t/t0047-platform-left-before-look.sh
@@ -1,5 +1,6 @@
 #!/bin/bash
-# What a caller sent behind its first request and left at once, while the node stood still, goes to no gate.
+# While a node is paused, a caller sends five lookups behind its first one and
+# leaves at once. None of the five may be sent to a gate.
 . "$(dirname "$0")/lib-platform.sh"
 start_platform "records bookings" "hakata tenjin kurume kitakyu"
 platform_config 7 ',{"name":"slow","kind":"safe","goal_ms":400,"priority":2,
--- a/t/t0048-platform-stop-beyond-limit.sh
+++ b/t/t0048-platform-stop-beyond-limit.sh
@@ -1,5 +1,6 @@
 #!/bin/bash
-# A node is stopped while a request is at work beyond its stop limit: it ends by exit, not by abort.
+# A node is stopped while a request is in flight for longer than the stop limit.
+# The node must end by exit, not by abort.
 . "$(dirname "$0")/lib-platform.sh"
 start_platform "records bookings" "hakata tenjin kurume kitakyu"
 platform_config 7 ',{"name":"slow","kind":"unsafe","goal_ms":20000,"priority":1,
--- a/t/t0049-platform-cancels-unread.sh
+++ b/t/t0049-platform-cancels-unread.sh
@@ -1,5 +1,7 @@
 #!/bin/bash
-# Gates stand for two seconds while work ends and cancels come in: what was taken back meanwhile is not begun.
+# Gates are paused for two seconds, in which the work in flight ends and
+# cancellations arrive. When they resume, they must not start requests that were
+# cancelled meanwhile.
 . "$(dirname "$0")/lib-platform.sh"
 start_platform "records bookings" "hakata tenjin kurume kitakyu"
 platform_config 7 ',{"name":"slow","kind":"unsafe","goal_ms":20000,"priority":1,
@@ -7,7 +9,7 @@
 	"timeout_ms":20000,"attempts":2}}'
 wait_platform
 for i in 1 3 5 7; do server_control $i hold=1; done
-# book ID: one booking that its caller would wait long for.
+# book ID: one booking whose caller waits up to 20 s.
 book() {
 	exec curl -sS --noproxy '*' --max-time 20 -X POST -d x -o /dev/null \
 		-H "Host: a.example" -H "X-Mesh-Deadline-Ms: 20000" \
--- a/t/t0050-platform-late-asks.sh
+++ b/t/t0050-platform-late-asks.sh
@@ -1,5 +1,7 @@
 #!/bin/bash
-# Lookups reach gates that know their entry a second late, with their cancels behind long bodies: none may be begun.
+# Lookups reach paused gates about a second late, and their cancellations are
+# queued on the links behind long bodies. Unlike in t0041, the gates have
+# received requests from this entry before. None of the lookups may be started.
 COLD_PER_S=1000
 . "$(dirname "$0")/lib-platform.sh"
 start_platform "records bookings" "hakata tenjin kurume kitakyu"
--- a/t/t0051-platform-stop-bookings.sh
+++ b/t/t0051-platform-stop-bookings.sh
@@ -1,6 +1,7 @@
 #!/bin/bash
-# A node is asked to stop beside a server that goes on, and has ended. Bookings
-# sent elsewhere must not go to its gate: with no answer nobody may repeat them.
+# A node was stopped and has ended, and its server keeps running. Bookings at
+# other nodes must not be sent to its gate: without an answer it is unknown
+# whether they ran, so that no node may retry them.
 . "$(dirname "$0")/lib-platform.sh"
 start_platform "records bookings" "hakata tenjin kurume kitakyu"
 platform_config 7
--- a/t/t0052-platform-stop-answers-all.sh
+++ b/t/t0052-platform-stop-answers-all.sh
@@ -1,5 +1,6 @@
 #!/bin/bash
-# A node is stopped while lookups and bookings wait at other gates beyond its time limit: each gets an answer.
+# A node is stopped while lookups and bookings that it has sent are queued at
+# other gates for longer than its stop limit. Each must get an answer.
 . "$(dirname "$0")/lib-platform.sh"
 start_platform "records bookings" "hakata tenjin kurume kitakyu"
 platform_config 7 ',{"name":"slow","kind":"unsafe","goal_ms":20000,"priority":1,
--- a/t/t0053-platform-routes-added-again.sh
+++ b/t/t0053-platform-routes-added-again.sh
@@ -1,5 +1,6 @@
 #!/bin/bash
-# Operators add routes again and again, to 4,600; none of them is told 404.
+# Operators add routes several times, up to 4,600. A request for any of them
+# must not be answered 404.
 . "$(dirname "$0")/lib-platform.sh"
 start_platform "records bookings" "hakata tenjin kurume kitakyu"
 platform_config 1
@@ -13,7 +14,7 @@
 	done
 }
 VERSION=1
-# publish N: a configuration of N routes more than the first.
+# publish N: the first configuration with N routes added.
 publish() {
 	VERSION=$((VERSION + 1))
 	platform_config "$VERSION" "$(routes "$1")"
@@ -31,12 +32,12 @@
 	call 1 GET "/route-$n/1" -o /dev/null
 	call 1 GET "/route-$n-no/1" -o /dev/null
 done
-# Some go, and what is left is served.
+# Some routes are removed, and those left are served.
 publish 4590
 LIMIT_S=20 wait_for "fewer routes" in_force
 call 1 GET /route-4591/1 -o /dev/null
 call 1 GET /route-4590/1 -o /dev/null
-# A process that starts reads them back.
+# A process that starts must read them back.
 kill_node 0
 start_platform_node 0 records hakata
 wait_for "it to be ready" ask -f "http://$(ready_of 0)/-/readyz"
--- a/t/t0054-platform-route-not-yet-in-force.sh
+++ b/t/t0054-platform-route-not-yet-in-force.sh
@@ -1,5 +1,6 @@
 #!/bin/bash
-# A route that operators have added and the log does not take yet is not told 404.
+# Operators have added a route, but the log does not accept the change yet. A
+# request for the route must not be answered 404.
 . "$(dirname "$0")/lib-platform.sh"
 start_platform "records bookings" "hakata tenjin kurume kitakyu"
 platform_config 1
--- a/t/t0055-platform-long-headers.sh
+++ b/t/t0055-platform-long-headers.sh
@@ -1,5 +1,5 @@
 #!/bin/bash
-# Headers within the operators' limit are no reason to be told 431.
+# Headers within the limit that operators configured must not be answered 431.
 . "$(dirname "$0")/lib-platform.sh"
 start_platform "records bookings" "hakata tenjin kurume kitakyu"
 platform_config 1
--- a/t/t0056-platform-evacuation-forgotten.sh
+++ b/t/t0056-platform-evacuation-forgotten.sh
@@ -1,5 +1,7 @@
 #!/bin/bash
-# An evacuation is taken back while the store is away and forgets its history.
+# Operators end an evacuation while the store is down, and the store trims its
+# history, so that no node can read the record that ended it. The evacuation
+# must end all the same.
 . "$(dirname "$0")/lib-platform.sh"
 start_platform "records bookings" "hakata tenjin kurume kitakyu"
 platform_config 1
--- a/t/t0057-platform-stop-tells-entries.sh
+++ b/t/t0057-platform-stop-tells-entries.sh
@@ -1,5 +1,7 @@
 #!/bin/bash
-# A node stops beside a server that stands still: of the bookings at its gate, 504 is said only of those begun, and at the stop.
+# A node is stopped while the bookings in flight at its server take longer than
+# the stop limit. Of the bookings at its gate, only those that were started may
+# be answered 504, and at the stop, not at their deadline.
 . "$(dirname "$0")/lib-platform.sh"
 start_platform "records bookings" "hakata tenjin kurume kitakyu"
 platform_config 7 ',{"name":"slow","kind":"unsafe","goal_ms":20000,"priority":1,
@@ -27,7 +29,7 @@
 	[ "$(ran "book-$i")" -ge 1 ] || n_504_unbegun=$((n_504_unbegun + 1))
 	grep -q "^book-$i " "$DIR/ledger" || continue
 	n_504_begun=$((n_504_begun + 1))
-	# At the stop, some six seconds on; their own time is 20 s.
+	# Answered at the stop, after about 6 s, not at the deadline of 20 s.
 	[ "${s%.*}" -lt 15 ] || n_504_late=$((n_504_late + 1))
 done
 [ $n_504_begun -ge 1 ] && echo "those begun there told 504"
--- a/t/t0058-platform-entry-paused.sh
+++ b/t/t0058-platform-entry-paused.sh
@@ -1,5 +1,7 @@
 #!/bin/bash
-# An entry stands still while its bookings are answered and their time ends: the answers that have come are given, not 504.
+# An entry is paused while its bookings are answered and their deadlines pass.
+# When it resumes, it must pass on the answers that have arrived, not answer
+# 504.
 . "$(dirname "$0")/lib-platform.sh"
 start_platform "records bookings" "hakata tenjin kurume kitakyu"
 platform_config 7
--- a/t/t0059-platform-wait-until-deadline.sh
+++ b/t/t0059-platform-wait-until-deadline.sh
@@ -1,5 +1,6 @@
 #!/bin/bash
-# Bookings that no server has room for wait until their time is over: each is told in time that it has not run.
+# Bookings for which no server has a free slot are queued until their deadline.
+# Each caller must be told in time that its booking has not run.
 . "$(dirname "$0")/lib-platform.sh"
 start_platform "records bookings" "hakata tenjin kurume kitakyu"
 platform_config 7 ',{"name":"slow","kind":"unsafe","goal_ms":20000,"priority":1,
--- a/t/t0060-platform-where-requests-wait.sh
+++ b/t/t0060-platform-where-requests-wait.sh
@@ -1,10 +1,11 @@
 #!/bin/bash
-# What a request waits for on its way to a server is counted where it waits.
+# The time that a request waits on its way to a server must be counted in the
+# histogram of the place where it waits.
 . "$(dirname "$0")/lib-platform.sh"
 start_platform "records bookings" "hakata tenjin kurume kitakyu"
 platform_config 7
 wait_platform
-# counted NAME: how many waits of a kind all nodes have counted.
+# counted NAME: number of entries in a histogram, over all nodes.
 counted() {
 	local i
 	for i in $NODES; do ask "http://$(operator_of "$i")/metrics"; done |
--- a/t/t0061-platform-stop-set-aside.sh
+++ b/t/t0061-platform-stop-set-aside.sh
@@ -1,5 +1,6 @@
 #!/bin/bash
-# A node is stopped while requests of an entry that was killed are set aside at its gate: it ends by exit.
+# A node is stopped while requests of a killed entry are set aside at its gate:
+# not started, since no link to their entry is left. The node must end by exit.
 . "$(dirname "$0")/lib-platform.sh"
 start_platform "records bookings" "hakata tenjin kurume kitakyu"
 platform_config 7 ',{"name":"slow","kind":"unsafe","goal_ms":20000,"priority":1,
--- a/t/t0062-heir-paused-log-down.sh
+++ b/t/t0062-heir-paused-log-down.sh
@@ -1,5 +1,7 @@
 #!/bin/bash
-# While the log is down a key's heir is paused beyond its lease, then the key's owner is lost: another serves it.
+# While the log is down, the successor of a key is paused until its lease has
+# lapsed, and then the owner of the key is lost. Another node must serve the
+# key.
 . "$(dirname "$0")/lib.sh"
 start_log
 start_fleet "records" "hakata tenjin kurume kitakyu"
--- a/t/t0063-platform-booking-lost-with-link.sh
+++ b/t/t0063-platform-booking-lost-with-link.sh
@@ -1,5 +1,6 @@
 #!/bin/bash
-# Gates stand for six seconds, and links to them are given up with long bookings half sent: their callers are answered soon after.
+# Gates are paused for six seconds, and the links to them are closed while long
+# bookings are half sent. The callers must be answered soon after.
 COLD_PER_S=1000
 . "$(dirname "$0")/lib-platform.sh"
 start_platform "records bookings" "hakata tenjin kurume kitakyu"
@@ -20,6 +21,6 @@
 wait_for "them to be sent" received
 sleep 6
 for i in 1 3 5 7; do kill -CONT "${NODE_PID[$i]}"; done
-# Their own time is 20 s.
+# The deadline of the bookings is 20 s.
 sleep 5
 echo "of 12 answered: $(cat "$DIR"/long-* | grep -c '[1-9]')"
