--- a/t/bench.sh
+++ b/t/bench.sh
@@ -1,5 +1,7 @@
 #!/bin/bash
-# Measures, in one run, and prints medians of several. Sections can be named:
+# Measures the cost of routing, throughput, idle load, recovery and publishing,
+# in one run, and prints medians of TIMES measurements or single ones. Arguments
+# select sections:
 # t/bench.sh hops throughput idle recovery configuration
 . "$(dirname "$0")/lib.sh"
 cd "$TOP" || exit 1
@@ -54,7 +56,7 @@
 	stop_fleet
 }
 
-# fleet_of N: N nodes of one service over four data centres.
+# fleet_of N: starts N nodes of one service in four data centres.
 fleet_of() {
 	local i dcs=(hakata tenjin kurume kitakyu)
 	for ((i = 0; i < $1; i++)); do
@@ -111,7 +113,8 @@
 	echo $sum
 }
 
-# one_recovery LOG_DOWN: ms from the kill to the first answer for a key of the owner.
+# one_recovery LOG_DOWN: kills the owner of a key and records the time in ms to
+# the next answer for the key.
 one_recovery() {
 	local down=$1 owner via t0 key=frame-$RANDOM acquired
 	owner=$(owner_index records $key 0)
--- a/t/demo.sh
+++ b/t/demo.sh
@@ -1,6 +1,7 @@
 #!/bin/bash
-# The whole of Kinwaku on loopback: lookups, bookings and downloads while a data
-# centre leaves and returns and a node is killed; then what really happened.
+# Runs the whole example Kinwaku on loopback: lookups, bookings and downloads
+# while a data centre is taken out of service and back and a node is killed.
+# Then prints what callers and backend servers measured.
 if ! pkg-config --exists glib-2.0 jansson libxxhash msgpack libmicrohttpd \
 	libcurl libzmq zlib 2>/dev/null; then
 	echo "packages are missing; see README.md" >&2
--- a/t/lib-platform.sh
+++ b/t/lib-platform.sh
@@ -1,6 +1,7 @@
-# Sessions on the platform's wire: the store and backend server stand-ins that
-# speak it, and nodes set up as deploy/settings.json.in does. Ports of node I:
-# callers +1, peers +2, operator +3, backend server +4, ready +5, heartbeats +6.
+# Functions for sessions that use the platform's protocol: stand-ins for the
+# store and the backend servers, and nodes with settings like
+# deploy/settings.json.in. Ports of node I, from BASE_PORT + 10 * I: callers +1,
+# peers +2, operator +3, backend server +4, ready +5, heartbeats +6.
 . "$(dirname "${BASH_SOURCE[0]}")/lib.sh"
 
 ready_of() { echo 127.0.0.1:$((BASE_PORT + 10 * $1 + 5)); }
@@ -47,7 +48,8 @@
 	PIDS="$PIDS $!"
 }
 
-# start_platform SERVICES DATA_CENTRES: one of each in each.
+# start_platform SERVICES DATA_CENTRES: the store, and one node and backend
+# server of each service in each data centre.
 start_platform() {
 	local services=$1 dcs=$2 i=0 s d
 	start_store
@@ -61,13 +63,14 @@
 	N=$i
 }
 
-# put KEY [BODY]: what an operator publishes; no body removes it.
+# put KEY [BODY]: publishes as an operator; without a body, removes the key.
 put() {
 	printf %s "${2:-}" | ask -o /dev/null --data-binary @- \
 		"http://$LOG_ADDRESS/publish?key=$1"
 }
 
-# platform_config VERSION [RULES]: services records (by key) and bookings.
+# platform_config VERSION [RULES]: publishes a configuration of the services
+# records (sharded by key) and bookings; RULES are added to the listener's.
 platform_config() {
 	put config "{\"version\":$1,\"limits\":{\"max_header_bytes\":16384,
 \"max_body_bytes\":1048576,\"header_timeout_ms\":3000,\"idle_timeout_ms\":15000},
@@ -92,7 +95,7 @@
 }
 server_control() { ask -o /dev/null -X POST "http://$(backend_of "$1")/control?$2"; }
 
-# keys_held: over all servers of records.
+# keys_held: number of keys held, over all servers of records.
 keys_held() {
 	local i sum=0 v
 	for i in $NODES; do
@@ -111,7 +114,8 @@
 	done
 }
 
-# wait_platform: configured, all members, every key held.
+# wait_platform: waits until all nodes have joined and are ready, every key is
+# held and all witnesses are settled.
 wait_platform() {
 	local i
 	for i in $NODES; do
@@ -122,8 +126,8 @@
 	wait_for "witnesses" settled
 }
 
-# call I METHOD PATH [CURL OPTION...]: status and body of one request at a node,
-# from HOST_NAME (a.example) under REQUEST_ID (one of its own).
+# call I METHOD PATH [CURL OPTION...]: sends a request to a node and prints body
+# and status. HOST_NAME (a.example) is the host, REQUEST_ID (random) the id.
 call() {
 	local i=$1 method=$2 path=$3
 	shift 3
@@ -132,17 +136,18 @@
 		-H "X-Mesh-Request-Id: ${REQUEST_ID:-r-$BASHPID-$RANDOM}" \
 		-w '%{http_code}\n' "$@" "http://$(caller_of "$i")$path"
 }
-# ranges_of I: ranges of keys that a server holds, without their fences.
+# ranges_of I: the ranges of keys that a server holds, without their fences.
 ranges_of() {
 	ask "http://$(backend_of "$1")/rows" | jq -c '[.[] | [.[0], .[1]]]'
 }
-# wait_heartbeats I N: until the server has sent N more heartbeats.
+# wait_heartbeats I N: waits until the server has sent more than N heartbeats.
 wait_heartbeats() {
 	local i=$1 until=$(($(server_stat "$1" beats) + $2))
 	more_heartbeats() { [ "$(server_stat "$i" beats)" -gt "$until" ]; }
 	wait_for "more heartbeats" more_heartbeats
 }
-# restart_node_beside_server I TIMES: kill a node and start it again, its server lives.
+# restart_node_beside_server I TIMES: kills and restarts a node, but not its
+# backend server.
 restart_node_beside_server() {
 	local i=$1 n
 	holds_shards() { [ "$(field "$i" shards_held)" -gt 0 ]; }
@@ -160,14 +165,15 @@
 		awk '{n+=$1} END{print n}'
 }
 
-# begun PREFIX: how many requests whose ids begin with it any server has begun.
+# begun PREFIX: number of requests, by the prefix of their ids, that any server
+# has started.
 begun() {
 	local i
 	for i in $NODES; do
 		ask "http://$(backend_of "$i")/ledger" 2>/dev/null
 	done | awk -v p="$1" 'index($1, p) == 1 && !n[$1]++ {s++} END{print s + 0}'
 }
-# ran ID: how often all servers ran it.
+# ran ID: number of runs of the request over all servers.
 ran() {
 	local i sum=0 v
 	for i in $NODES; do
--- a/t/lib.sh
+++ b/t/lib.sh
@@ -1,7 +1,7 @@
-# A small library for scripted sessions: starts the stand-ins and nodes on
-# loopback, waits for conditions, and compares what a script prints with its
-# golden file. Nothing here races a clock: every wait is for a condition, with a
-# generous limit.
+# Functions for scripted sessions: start the stand-ins and nodes on loopback and
+# wait for conditions. t/run-tests compares what a session prints with its
+# golden file. Waits here are for a condition, with a generous time-out, and
+# never for a fixed time.
 
 set -u
 TOP=$(cd "$(dirname "${BASH_SOURCE[0]}")/.." && pwd)
@@ -39,7 +39,8 @@
 	exit 1
 }
 
-# wait_for WHAT COMMAND...: until the command succeeds.
+# wait_for WHAT COMMAND...: repeats the command until it succeeds; fails the
+# session after LIMIT_S seconds.
 wait_for() {
 	local what=$1 end=$((SECONDS + LIMIT_S))
 	shift
@@ -74,7 +75,7 @@
 EOF
 }
 
-# start_node I SERVICE DATA_CENTRE: the node alone.
+# start_node I SERVICE DATA_CENTRE: without a backend server.
 start_node() {
 	write_settings "$1" "$2" "$3"
 	"$BIN/briargrade" run --settings "$DIR/node-$1.json" \
@@ -86,7 +87,7 @@
 	case " $NODES " in *" $1 "*) ;; *) NODES="$NODES $1" ;; esac
 }
 
-# start_backend I [OPTION...]: announces itself to node I.
+# start_backend I [OPTION...]: a backend server that announces itself to node I.
 start_backend() {
 	local i=$1
 	shift
@@ -98,7 +99,8 @@
 	PIDS="$PIDS $!"
 }
 
-# start_fleet SERVICES DATA_CENTRES [BACKEND OPTION...]: one of each in each.
+# start_fleet SERVICES DATA_CENTRES [BACKEND OPTION...]: one node and backend
+# server of each service in each data centre.
 start_fleet() {
 	local services=$1 dcs=$2 i=0 s d
 	shift 2
@@ -113,11 +115,11 @@
 }
 
 status_of() { ask -f "http://$(operator_of "$1")/status"; }
-# field I NAME: a number or word of a node's status.
+# field I NAME: a field of a node's status.
 field() { status_of "$1" | jq -r ".$2"; }
-# counter I NAME
+# counter I NAME: a counter of a node.
 counter() { status_of "$1" | jq -r ".counters.$2"; }
-# total NAME: a counter over all nodes that answer.
+# total NAME: sum of a counter over all nodes that answer.
 total() {
 	local i sum=0 v
 	for i in $NODES; do
@@ -143,8 +145,8 @@
 members_are() { [ "$(field "$1" 'members|length')" -eq "$2" ]; }
 version_is() { [ "$(field "$1" configuration_version)" -eq "$2" ]; }
 
-# wait_ready CONFIGURATION: all joined, configured, every shard held and
-# no move under way.
+# wait_ready CONFIGURATION: publishes it and waits until all nodes have joined,
+# every shard is held, no shard is being moved and each lease has its witnesses.
 wait_ready() {
 	local i service shards
 	for i in $NODES; do
@@ -160,13 +162,14 @@
 	wait_for "balance" balanced
 	wait_for "witnesses" witnessed
 }
-# Every member's lease rests on witnesses, not on the log.
+# Whether every member's lease is granted by witnesses, not by the log.
 witnessed() {
 	status_of 0 | jq -e 'all(.members[]; .witnesses_settled and
 		(.witnesses | length == 3))' >/dev/null
 }
 all_leases() { local i; for i in $NODES; do has_lease "$i" || return 1; done; }
-# Shares of one service differ by at most one among members that take work.
+# Whether the shard counts of members of one service that take work differ by at
+# most one.
 balanced() {
 	status_of 0 | jq -e '[.members[] | select(.takes_work)] |
 		group_by(.service) | map((map(.shards) | max - min) <= 1) |
@@ -182,7 +185,7 @@
 
 kill_node() { kill -9 "${NODE_PID[$1]}"; wait "${NODE_PID[$1]}" 2>/dev/null; }
 
-# ledger ID: how often all backend servers ran it.
+# ledger ID: number of runs of the request over all backend servers.
 ledger() {
 	local i sum=0 v
 	for i in $NODES; do
@@ -192,7 +195,7 @@
 	done
 	echo $sum
 }
-# ran_twice: ids that ran more than once anywhere.
+# ran_twice: ids that ran more than once over all backend servers.
 ran_twice() {
 	local i
 	for i in $NODES; do
@@ -200,7 +203,7 @@
 	done | awk '{n[$1]+=$2} END{for(k in n) if(n[k]>1) print k, n[k]}'
 }
 
-# code URL [CURL OPTION...]: status and outcome of one request.
+# code URL [CURL OPTION...]: sends a request and prints its status and outcome.
 code() {
 	local url=$1
 	shift
@@ -210,12 +213,12 @@
 	echo
 }
 
-# For measuring scripts.
+# For the measuring scripts bench.sh and report.sh.
 median() { sort -n | awk '{v[NR]=$1} END{print NR ? v[int((NR+1)/2)] : "-"}'; }
 section_selected() { [[ " $SECTIONS " == *" $1 "* ]]; }
-# values_of NAME FILE: every value that follows a name.
+# values_of NAME FILE: the number after each occurrence of the name.
 values_of() { grep -o "$1 [0-9.]*" "$2" | cut -d' ' -f2; }
-# stop_fleet: ends what start_fleet and start_log started; other ports follow.
+# stop_fleet: kills all processes started; the next ones use other ports.
 stop_fleet() {
 	local pid
 	for pid in $PIDS; do
--- a/t/report.sh
+++ b/t/report.sh
@@ -1,7 +1,8 @@
 #!/bin/bash
-# The policy under load and faults against a plain baseline (by turns, fixed
-# limit, no hedging), in one run, at the brief's sizes. Prints a table; with
-# gnuplot there, draws build/report.svg of goodput.
+# Compares the policy under load and faults with a plain baseline (round robin,
+# fixed limit, no hedging), in one run, at the sizes of the two example fleets.
+# Prints a table and, if gnuplot is installed, draws the goodput into
+# build/report.svg.
 . "$(dirname "$0")/lib.sh"
 cd "$TOP" || exit 1
 SECTIONS=${*:-straggler goodput cold leave}
@@ -9,7 +10,7 @@
 SECONDS_EACH=${SECONDS_EACH:-6}
 TIMES=${TIMES:-3}
 PLAIN='"hedge": false, "limit": "fixed", "choice": "turns",'
-# site NAME: services, data centres and sizes of one of the brief's workloads.
+# site NAME: sets services, data centres and sizes of an example fleet.
 site() {
 	if [ "$1" = kinwaku ]; then
 		CONF=examples/kinwaku.json KEYED=records FREE=archive
@@ -24,7 +25,8 @@
 	fi
 }
 
-# fleet POLICY SERVICES WORK_MS [OPTION...]
+# fleet POLICY SERVICES WORK_MS [OPTION...]: starts a fleet; the options are for
+# its backend servers.
 fleet() {
 	local policy=$1 services=$2 work=$3
 	shift 3
@@ -45,7 +47,8 @@
 	"$BIN/load" $(targets) --rate "$1" --seconds 4 --path "$2" >/dev/null
 }
 
-# Backend server 0 stalls for 150 ms, twice a second, until the file is gone.
+# Stalls backend server 0 for 150 ms twice a second, until $DIR/stalling is
+# removed.
 stall_bursts() {
 	touch "$DIR/stalling"
 	while [ -e "$DIR/stalling" ]; do
@@ -122,7 +125,8 @@
 	fleet "$policy" $FREE 20 --cold-ms 5000
 	warm_up $((SLOTS * 40)) "$FREE_PATH"
 	sleep 5
-	# All four turn cold without a word, under half of what they bear warm.
+	# All four servers get cold caches unannounced, under half the load that
+	# they can serve with warm ones.
 	for i in $NODES; do
 		ask -X POST "http://$(backend_of "$i")/control?cold=1" >/dev/null
 	done
