--- a/t/soak/faults.h
+++ b/t/soak/faults.h
@@ -18,8 +18,8 @@
 	uint32_t node;
 	uint32_t link;
 	uint32_t random_bits; /* for a choice among variants of the kind */
-	int64_t begin_offset_ms,
-		end_offset_ms; /* from the start of the phase */
+	/* From the start of the phase. */
+	int64_t begin_offset_ms, end_offset_ms;
 	bool begun, ended;
 	char *description; /* NULL: name of the kind and node */
 };
