--- a/t/report.sh
+++ b/t/report.sh
@@ -1,7 +1,8 @@
 #!/bin/bash
-# The policy under load and faults against a plain baseline (by turns, fixed
-# limit, no hedging), in one run, at the brief's sizes. Prints a table; with
-# gnuplot there, draws build/report.svg of goodput.
+# Compares the policy under load and faults with a plain baseline (round robin,
+# fixed limit, no hedging), in one run, at the sizes of the two example fleets.
+# Prints a table and, if gnuplot is installed, draws the goodput into
+# build/report.svg.
 . "$(dirname "$0")/lib.sh"
 cd "$TOP" || exit 1
 SECTIONS=${*:-straggler goodput cold leave}
@@ -9,7 +10,7 @@
 SECONDS_EACH=${SECONDS_EACH:-6}
 TIMES=${TIMES:-3}
 PLAIN='"hedge": false, "limit": "fixed", "choice": "turns",'
-# site NAME: services, data centres and sizes of one of the brief's workloads.
+# site NAME: sets services, data centres and sizes of an example fleet.
 site() {
 	if [ "$1" = kinwaku ]; then
 		CONF=examples/kinwaku.json KEYED=records FREE=archive
@@ -24,7 +25,8 @@
 	fi
 }
 
-# fleet POLICY SERVICES WORK_MS [OPTION...]
+# fleet POLICY SERVICES WORK_MS [OPTION...]: starts a fleet; the options are for
+# its backend servers.
 fleet() {
 	local policy=$1 services=$2 work=$3
 	shift 3
@@ -41,11 +43,12 @@
 	for i in $NODES; do echo --target "$(caller_of "$i")"; done
 }
 
-warm() {
+warm_up() {
 	"$BIN/load" $(targets) --rate "$1" --seconds 4 --path "$2" >/dev/null
 }
 
-# Backend server 0 stalls for 150 ms, twice a second, until the file is gone.
+# Stalls backend server 0 for 150 ms twice a second, until $DIR/stalling is
+# removed.
 stall_bursts() {
 	touch "$DIR/stalling"
 	while [ -e "$DIR/stalling" ]; do
@@ -58,7 +61,7 @@
 straggler_one() {
 	local policy=$1 service=$2 path=$3 n pid
 	fleet "$policy" "$service" 2
-	warm 400 "$path"
+	warm_up 400 "$path"
 	for ((n = 0; n < TIMES; n++)); do
 		"$BIN/load" $(targets) --rate 400 --seconds "$SECONDS_EACH" \
 			--path "$path" >>"$DIR/calm-$policy-$service"
@@ -72,8 +75,8 @@
 	for n in p50_ms p99_ms p999_ms; do
 		printf '  %-8s %-8s %-8s without %-8s with %s\n' "$service" \
 			"$policy" $n \
-			"$(pick $n "$DIR/calm-$policy-$service" | median)" \
-			"$(pick $n "$DIR/burst-$policy-$service" | median)"
+			"$(values_of $n "$DIR/calm-$policy-$service" | median)" \
+			"$(values_of $n "$DIR/burst-$policy-$service" | median)"
 	done
 	stop_fleet
 }
@@ -91,7 +94,7 @@
 goodput_one() {
 	local policy=$1 capacity=$2 share rate
 	fleet "$policy" $FREE 20
-	warm $((capacity / 4)) "$FREE_PATH"
+	warm_up $((capacity / 4)) "$FREE_PATH"
 	for share in 0.5 1 1.5 3; do
 		rate=$(echo "$capacity * $share / 1" | bc)
 		"$BIN/load" $(targets) --rate "$rate" \
@@ -99,10 +102,10 @@
 			>"$DIR/goodput"
 		printf '  %-8s x%-4s answered %s/s within p99 %s ms; %s\n' \
 			"$policy" $share \
-			"$(($(pick answered "$DIR/goodput") / SECONDS_EACH))" \
-			"$(pick p99_ms "$DIR/goodput")" \
+			"$(($(values_of answered "$DIR/goodput") / SECONDS_EACH))" \
+			"$(values_of p99_ms "$DIR/goodput")" \
 			"$(sed -n 1p "$DIR/goodput")"
-		echo "$share $(($(pick answered "$DIR/goodput") / SECONDS_EACH))" \
+		echo "$share $(($(values_of answered "$DIR/goodput") / SECONDS_EACH))" \
 			>>"$OUT/goodput-$policy.dat"
 	done
 	stop_fleet
@@ -120,9 +123,10 @@
 cold_one() {
 	local policy=$1 i
 	fleet "$policy" $FREE 20 --cold-ms 5000
-	warm $((SLOTS * 40)) "$FREE_PATH"
+	warm_up $((SLOTS * 40)) "$FREE_PATH"
 	sleep 5
-	# All four turn cold without a word, under half of what they bear warm.
+	# All four servers get cold caches unannounced, under half the load that
+	# they can serve with warm ones.
 	for i in $NODES; do
 		ask -X POST "http://$(backend_of "$i")/control?cold=1" >/dev/null
 	done
@@ -132,8 +136,8 @@
 		"$policy" "$(for i in $NODES; do
 			ask "http://$(backend_of "$i")/stats" |
 				awk '$1=="overloads"{print $2}'
-		done | paste -sd+ | bc)" "$(pick answered "$DIR/cold")" \
-		"$(pick sent "$DIR/cold")" "$(pick p99_ms "$DIR/cold")"
+		done | paste -sd+ | bc)" "$(values_of answered "$DIR/cold")" \
+		"$(values_of sent "$DIR/cold")" "$(values_of p99_ms "$DIR/cold")"
 	stop_fleet
 }
 
@@ -148,7 +152,7 @@
 leave_one() {
 	local policy=$1 pid
 	fleet "$policy" $KEYED 2
-	warm 400 "$KEYED_PATH"
+	warm_up 400 "$KEYED_PATH"
 	"$BIN/load" $(targets) --rate 400 --seconds 12 --path "$KEYED_PATH" \
 		>"$DIR/leave" &
 	pid=$!
@@ -189,7 +193,7 @@
 for s in $SITES; do
 	site "$s"
 	for section in straggler goodput cold leave; do
-		wants $section && $section "$s"
+		section_selected $section && $section "$s"
 	done
 done
 plot
--- a/t/soak/proxy.h
+++ b/t/soak/proxy.h
@@ -8,14 +8,14 @@
 #include <netinet/in.h>
 
 /*
- * A TCP proxy on loopback that can delay what it carries, keep it back in one
- * direction or both, and reset its connections. What is kept back goes on, in
- * order, when the trouble ends, as TCP would send it again.
+ * A TCP proxy on loopback that can delay data, block it in one direction or
+ * both, and reset connections. Blocked data is queued and forwarded in order
+ * when the direction is unblocked, as TCP would retransmit it.
  */
 
 enum proxy_direction {
-	PROXY_UP, /* from who connects to who listens */
-	PROXY_DOWN,
+	PROXY_UP, /* from the connecting to the listening side */
+	PROXY_DOWN, /* from the listening to the connecting side */
 	PROXY_DIRECTIONS,
 };
 
@@ -23,16 +23,22 @@
 	struct ev_loop *loop;
 	ev_io accept;
 	struct sockaddr_in to;
-	GPtrArray *links; /* struct proxy_link */
+	GPtrArray *connections; /* struct proxy_connection */
 	int64_t delay_ms;
-	bool held[PROXY_DIRECTIONS];
+	bool blocked[PROXY_DIRECTIONS];
 };
 
-/* Returns RESULT_OK, RESULT_INVALID for an address or RESULT_IO. */
+/*
+ * Listens at listen_at and forwards connections to "to". Returns RESULT_OK,
+ * RESULT_INVALID for an invalid address, or RESULT_IO if it cannot listen.
+ */
 int proxy_init(struct proxy *p, struct ev_loop *loop, const char *listen_at,
 	       const char *to);
-void proxy_reset(struct proxy *p);
-void proxy_delay(struct proxy *p, int64_t delay_ms);
-void proxy_hold(struct proxy *p, bool up, bool down);
+/* Closes all connections with a reset (RST). */
+void proxy_reset_connections(struct proxy *p);
+/* Delays the data received from now on. */
+void proxy_set_delay(struct proxy *p, int64_t delay_ms);
+/* Blocks or unblocks each direction, for current and new connections. */
+void proxy_block(struct proxy *p, bool up, bool down);
 
 #endif
--- a/t/t0010-graceful-stop.sh
+++ b/t/t0010-graceful-stop.sh
@@ -1,6 +1,6 @@
 #!/bin/bash
-# A node is stopped as planned, under load. No request in progress is cut, and
-# its keys move without one caller seeing a failure.
+# Two nodes are stopped with SIGTERM under load. No request in flight may be cut
+# off, and their keys must move without a failure for any caller.
 . "$(dirname "$0")/lib.sh"
 start_log
 start_fleet "records bookings" "hakata tenjin kurume kitakyu"
@@ -22,6 +22,6 @@
 wait $a $b
 sed -n '1p' "$DIR/lookups"
 sed -n '1p' "$DIR/bookings"
-echo "ran twice: $(doubled | wc -l)"
+echo "ran twice: $(ran_twice | wc -l)"
 wait_for "the others" members_are 0 6
 grep -h -c 'stopped, nothing in progress' "$DIR/node-4.log" "$DIR/node-5.log"
--- a/t/t0013-unknown.sh
+++ b/t/t0013-unknown.sh
@@ -1,6 +1,7 @@
 #!/bin/bash
-# A backend server runs a booking and its connection breaks before the answer.
-# The caller is told "unknown", and sending the booking again does not run it.
+# A backend server runs a booking, and its connection breaks before the answer.
+# The caller must be told "unknown", and sending the booking again must not run
+# it a second time.
 . "$(dirname "$0")/lib.sh"
 start_log
 start_fleet "bookings" "hakata tenjin kurume kitakyu"
@@ -26,7 +27,7 @@
 code "http://$(caller_of $via)/bookings" -X POST -H 'Idempotency-Key: b-2' -d x
 echo "ran $(ledger b-2)"
 echo "# an id made after the loss is known to be new"
-made=$(printf '%012x' $((($(date +%s) + 3600) * 1000)))
-id="${made:0:8}-${made:8:4}-7cc3-98c4-dc0c0c07398f"
+id_time=$(printf '%012x' $((($(date +%s) + 3600) * 1000)))
+id="${id_time:0:8}-${id_time:8:4}-7cc3-98c4-dc0c0c07398f"
 code "http://$(caller_of $via)/bookings" -X POST -H "Idempotency-Key: $id" -d x
 echo "ran $(ledger "$id")"
--- a/t/t0022-platform-stop.sh
+++ b/t/t0022-platform-stop.sh
@@ -1,8 +1,9 @@
 #!/bin/bash
-# A node is asked to stop and waits for a long request. Another one, begun on an
-# open connection before, comes in whole only now. Taken up it would be cut when
-# the process ends, though a server works on it; it must be told at once that it
-# did not run, and the one in progress must be answered.
+# A node is stopped while it works on a long request. A second request, sent in
+# part before the stop on an open connection, is completed after it. If the node
+# accepted the second one, it would be cut off when the process ends, although a
+# server works on it. It must be refused as not run at once, and the long
+# request must be answered.
 . "$(dirname "$0")/lib-platform.sh"
 start_platform "records bookings" "hakata tenjin kurume kitakyu"
 platform_config 7
@@ -17,7 +18,7 @@
 ask -H "Host: a.example" -H "X-Mesh-Request-Id: long" \
 	-H "X-Mesh-Deadline-Ms: 9000" -o /dev/null -w 'in progress: %{http_code}\n' \
 	"http://$(caller_of 0)/slow/1" &
-asked=$!
+curl_pid=$!
 busy() { for i in 1 3 5 7; do [ "$(field $i in_flight)" -ge 1 ] && return; done; false; }
 wait_for "work" busy
 exec 3<>"/dev/tcp/127.0.0.1/$((BASE_PORT + 1))"
@@ -28,6 +29,6 @@
 printf 'X-Mesh-Request-Id: late\r\nX-Mesh-Deadline-Ms: 9000\r\n\r\n' >&3
 head -1 <&3 | tr -d '\r'
 exec 3>&-
-wait $asked
+wait $curl_pid
 wait "${NODE_PID[0]}" 2>/dev/null
 echo "late one ran $(ran late)"
--- a/t/t0023-platform-full-pipe.sh
+++ b/t/t0023-platform-full-pipe.sh
@@ -1,14 +1,14 @@
 #!/bin/bash
-# Whoever reads a node's standard output has stopped reading, and the pipe is
-# full. A node that waited for it would stop answering its callers; lines are
-# dropped instead, and counted.
+# The reader of a node's standard output has stopped reading, and the pipe is
+# full. A node that blocked on the write would stop answering its callers. It
+# must drop log lines instead, and count them.
 EXTRA_SETTINGS='"log_format": "json",'
 . "$(dirname "$0")/lib-platform.sh"
 mkfifo "$DIR/pipe"
 exec 5<>"$DIR/pipe"
 perl -e 'fcntl(STDIN, 1031, 4096) or die "pipe size: $!"' <&5
-mkfifo_node() { rm -f "$DIR/node-0.log"; ln -s "$DIR/pipe" "$DIR/node-0.log"; }
-mkfifo_node
+link_log_to_pipe() { rm -f "$DIR/node-0.log"; ln -s "$DIR/pipe" "$DIR/node-0.log"; }
+link_log_to_pipe
 start_platform "records bookings" "hakata tenjin kurume kitakyu"
 platform_config 7
 wait_platform
--- a/t/t0042-platform-leaves-six-in-one.sh
+++ b/t/t0042-platform-leaves-six-in-one.sh
@@ -1,5 +1,6 @@
 #!/bin/bash
-# A caller sends six lookups in one piece and leaves while the first is worked on: no other may be begun.
+# A caller pipelines six lookups in one segment and leaves while the first is
+# worked on. None of the others may be started.
 . "$(dirname "$0")/lib-platform.sh"
 start_platform "records bookings" "hakata tenjin kurume kitakyu"
 platform_config 7 ',{"name":"slow","kind":"safe","goal_ms":20000,"priority":2,
@@ -20,8 +21,8 @@
 	began() { [ "$(ran "row-$i-1")" = 1 ]; }
 	wait_for "the first to begin" began
 	exec 3>&-
-	quiet() { local i s=0; for i in $NODES; do s=$((s + $(field $i in_flight))); done; [ $s -eq 0 ]; }
-	wait_for "their end" quiet
+	is_idle() { local i s=0; for i in $NODES; do s=$((s + $(field $i in_flight))); done; [ $s -eq 0 ]; }
+	wait_for "their end" is_idle
 	for id in 2 3 4 5 6; do sum=$((sum + $(ran "row-$i-$id"))); done
 done
 echo "of 50 behind the first ran: $sum"
