--- a/gate/cold.c
+++ b/gate/cold.c
@@ -19,7 +19,7 @@
 	memset(c, 0, sizeof(*c));
 	c->per_s = COLD_START_DEFAULT_PER_S;
 	for (i = 0; i < COLD_START_MAX_SENT; i++)
-		c->sent_ms[i] = now_ms;
+		c->sent_at_ms[i] = now_ms;
 }
 
 void cold_start_set_remaining(struct cold_start *c, int64_t left_ms,
@@ -49,11 +49,11 @@
 		return true;
 	/* The n-th last request must have been sent a whole window ago. */
 	at = (c->next + COLD_START_MAX_SENT - n) % COLD_START_MAX_SENT;
-	return now_ms - c->sent_ms[at] >= WINDOW_MS;
+	return now_ms - c->sent_at_ms[at] >= WINDOW_MS;
 }
 
 void cold_start_record_send(struct cold_start *c, int64_t now_ms)
 {
-	c->sent_ms[c->next] = now_ms;
+	c->sent_at_ms[c->next] = now_ms;
 	c->next = (c->next + 1) % COLD_START_MAX_SENT;
 }
--- a/gate/cold.h
+++ b/gate/cold.h
@@ -25,8 +25,8 @@
 struct cold_start {
 	int64_t until_ms; /* end of the cold start, 0 if warm */
 	double per_s; /* allowed rate, or COLD_START_UNLIMITED */
-	int64_t sent_ms[COLD_START_MAX_SENT]; /* ring buffer */
-	uint32_t next; /* index in sent_ms to write next */
+	int64_t sent_at_ms[COLD_START_MAX_SENT]; /* ring buffer */
+	uint32_t next; /* index in sent_at_ms to write next */
 };
 
 /*
--- a/gate/life.c
+++ b/gate/life.c
@@ -18,7 +18,7 @@
 	g_strlcpy(s->id, id, sizeof(s->id));
 	s->started_ms = started_ms;
 	s->heartbeat_number = number;
-	s->heard_at_ms = now_ms;
+	s->last_heartbeat_at_ms = now_ms;
 	return INSTANCE_NEW;
 }
 
@@ -32,11 +32,11 @@
 		if (number <= s->heartbeat_number)
 			return INSTANCE_STALE;
 		s->heartbeat_number = number;
-		s->heard_at_ms = now_ms;
+		s->last_heartbeat_at_ms = now_ms;
 		return INSTANCE_CURRENT;
 	}
 	if (started_ms < s->started_ms &&
-	    now_ms - s->heard_at_ms < SILENCE_TIMEOUT_MS)
+	    now_ms - s->last_heartbeat_at_ms < SILENCE_TIMEOUT_MS)
 		return INSTANCE_STALE;
 	return set_instance(s, id, started_ms, number, now_ms);
 }
--- a/gate/life.h
+++ b/gate/life.h
@@ -17,7 +17,8 @@
 	char id[INSTANCE_ID_MAX_LEN + 1]; /* "" if none is known */
 	int64_t started_ms; /* wall clock of the backend server's host */
 	int64_t heartbeat_number; /* of the last one recorded */
-	int64_t heard_at_ms; /* time of the last one, by this node's clock */
+	int64_t last_heartbeat_at_ms; /* time of the last one, by this node's
+					 clock */
 };
 
 enum instance_check {
--- a/gate/limit.c
+++ b/gate/limit.c
@@ -24,7 +24,7 @@
 	l->allowed = MIN(LIMIT_INITIAL, l->slots);
 	l->slow_start = true;
 	l->was_reached = false;
-	l->next_step_ms = now_ms + SLOW_START_MS / l->slots;
+	l->next_increase_at_ms = now_ms + SLOW_START_MS / l->slots;
 }
 
 static void allow_all_slots(struct limit *l, int64_t now_ms)
@@ -82,7 +82,7 @@
 	}
 	l->allowed =
 		MAX(MIN(LIMIT_INITIAL, l->slots), l->allowed * OVERLOAD_CUT);
-	l->next_step_ms = now_ms + 2 * GROWTH_INTERVAL_MS;
+	l->next_increase_at_ms = now_ms + 2 * GROWTH_INTERVAL_MS;
 }
 
 static void update_latency(struct limit *l, double ms)
@@ -105,11 +105,13 @@
 	 * it was not reached: a backend server that answers well all along
 	 * becomes warm even without full load.
 	 */
-	if (now_ms < l->next_step_ms || (!l->was_reached && !l->slow_start))
+	if (now_ms < l->next_increase_at_ms ||
+	    (!l->was_reached && !l->slow_start))
 		return;
 	l->was_reached = false;
-	l->next_step_ms = now_ms + (l->slow_start ? SLOW_START_MS / l->slots
-						  : GROWTH_INTERVAL_MS);
+	l->next_increase_at_ms =
+		now_ms +
+		(l->slow_start ? SLOW_START_MS / l->slots : GROWTH_INTERVAL_MS);
 	l->allowed = MIN(l->allowed + 1, (double)l->slots);
 	if (l->allowed >= l->slots)
 		l->slow_start = false;
--- a/gate/limit.h
+++ b/gate/limit.h
@@ -29,7 +29,7 @@
 	int64_t stalled_since_ms; /* when the last stall was detected */
 	bool was_reached; /* the limit was reached since it last rose */
 	int64_t overload_since_ms; /* beginning of the last overload episode */
-	int64_t next_step_ms; /* the limit does not rise before */
+	int64_t next_increase_at_ms; /* the limit does not rise before */
 	uint64_t n_cold_starts;
 };
 
--- a/gate/queue.c
+++ b/gate/queue.c
@@ -28,7 +28,7 @@
 	uint32_t n_before = q->n_classes;
 	uint32_t i;
 
-	q->classes = g_renew(struct class_load, q->classes, n);
+	q->classes = g_renew(struct class_stats, q->classes, n);
 	q->n_classes = n;
 	if (n > n_before)
 		memset(q->classes + n_before, 0,
@@ -49,7 +49,7 @@
 
 void queue_count(struct queue *q, uint32_t class_index, bool refused)
 {
-	struct class_load *c;
+	struct class_stats *c;
 
 	if (class_index >= q->n_classes)
 		return;
@@ -127,7 +127,7 @@
 /* How far the refused share of a class is below its target. */
 static double refusal_headroom(const struct queue *q, uint32_t class_index)
 {
-	const struct class_load *c;
+	const struct class_stats *c;
 
 	if (class_index >= q->n_classes)
 		return 0;
--- a/gate/queue.h
+++ b/gate/queue.h
@@ -13,7 +13,7 @@
  * below its target for refusals.
  */
 
-struct class_load {
+struct class_stats {
 	double decayed_total; /* requests, exponentially decayed */
 	double decayed_refused; /* refused requests, the same */
 	double refusal_target; /* share of requests that may be refused */
@@ -34,7 +34,7 @@
 struct queue {
 	GPtrArray *heap; /* struct queued, least expected work on top */
 	uint32_t max;
-	struct class_load *classes;
+	struct class_stats *classes;
 	uint32_t n_classes;
 	bool has_refusal_targets; /* some class has a refusal_target */
 	double service_ms; /* smoothed time per request, all classes */
--- a/member/busy.c
+++ b/member/busy.c
@@ -56,18 +56,18 @@
 void holds_on_shard_moved(struct member_node *n, const struct fleet_event *ev)
 {
 	struct hold *h = hold_of_event(n, ev);
-	bool handed_over;
+	bool ids_received;
 
 	if (!h)
 		return;
-	handed_over = ev->from && h->ids_sender == ev->from &&
-		      h->ids_sender_fence == ev->fence_before;
-	if (ev->from && !fleet_member(&n->fleet, ev->from) && !handed_over)
+	ids_received = ev->from && h->ids_sender == ev->from &&
+		       h->ids_sender_fence == ev->fence_before;
+	if (ev->from && !fleet_member(&n->fleet, ev->from) && !ids_received)
 		mark_server_busy(n, h, ev->reason);
 	h->moved_from = ev->from;
 	if (ev->to != n->self_id || !n->self_id || h->state == HOLD_HELD)
 		return;
-	h->has_ids = !ev->from || handed_over;
+	h->has_ids = !ev->from || ids_received;
 	if (!ev->from)
 		h->ids_unknown_since_ms = 0;
 }
--- a/member/holds.c
+++ b/member/holds.c
@@ -6,7 +6,7 @@
 #include "util/result.h"
 
 #define RELEASE_REQUEST_INTERVAL_MS 200
-#define HAND_OVER_TIMEOUT_MS 1000
+#define IDS_ACK_TIMEOUT_MS 1000
 #define UNSETTLED_NOTE_INTERVAL_MS 5000
 #define IDS_PER_ENTRY 4
 
@@ -252,7 +252,7 @@
 		if (as_successor && !h->has_ids)
 			h->busy_until_ms = MAX(h->busy_until_ms,
 					       n->now_ms + holds_guard_ms(n));
-		n->next_release_request_ms = n->now_ms;
+		n->next_release_request_at_ms = n->now_ms;
 	}
 	h->as_successor = as_successor;
 	if (!predecessors_released(n, i) || !lease_valid(n))
@@ -472,7 +472,8 @@
 	g_array_unref(shards);
 }
 
-static void hand_over_ids(struct member_node *n, const GArray *successors)
+static void send_ids_to_successors(struct member_node *n,
+				   const GArray *successors)
 {
 	GArray *shards = g_array_new(FALSE, FALSE, sizeof(int64_t));
 	uint32_t i, j;
@@ -498,13 +499,13 @@
  * Send every successor the request ids seen on its shards. Called while this
  * node resigns and serves no shard any more.
  */
-void holds_hand_over(struct member_node *n)
+void holds_send_ids(struct member_node *n)
 {
 	GArray *successors = member_successors(n, n->self_id);
 
-	if (!n->hand_over_since_ms)
-		n->hand_over_since_ms = n->now_ms;
-	hand_over_ids(n, successors);
+	if (!n->ids_sent_since_ms)
+		n->ids_sent_since_ms = n->now_ms;
+	send_ids_to_successors(n, successors);
 	g_array_unref(successors);
 }
 
@@ -517,18 +518,18 @@
 
 /*
  * Whether every successor has acknowledged the request ids, or
- * HAND_OVER_TIMEOUT_MS has passed. A successor that takes over without the ids
+ * IDS_ACK_TIMEOUT_MS has passed. A successor that takes over without the ids
  * must answer "unknown" to each id that it has not seen.
  */
-bool holds_hand_over_is_done(const struct member_node *n)
+bool holds_send_ids_is_done(const struct member_node *n)
 {
 	GArray *successors;
 	bool all_acked = true;
 	uint32_t i;
 
-	if (!n->hand_over_since_ms)
+	if (!n->ids_sent_since_ms)
 		return false;
-	if (n->now_ms - n->hand_over_since_ms >= HAND_OVER_TIMEOUT_MS)
+	if (n->now_ms - n->ids_sent_since_ms >= IDS_ACK_TIMEOUT_MS)
 		return true;
 	successors = member_successors(n, n->self_id);
 	for (i = 0; i < successors->len; i++)
@@ -584,9 +585,9 @@
 {
 	struct unsettled_moves u;
 
-	if (n->now_ms < n->next_unsettled_note_ms)
+	if (n->now_ms < n->next_unsettled_note_at_ms)
 		return;
-	n->next_unsettled_note_ms = n->now_ms + UNSETTLED_NOTE_INTERVAL_MS;
+	n->next_unsettled_note_at_ms = n->now_ms + UNSETTLED_NOTE_INTERVAL_MS;
 	u = member_unsettled_moves(n);
 	if (u.n && n->now_ms - u.since_ms >= UNSETTLED_NOTE_INTERVAL_MS)
 		member_note(n, NOTE_UNSETTLED, u.shard);
@@ -608,8 +609,8 @@
 	note_unsettled(n);
 	if (n->unsent_releases->len)
 		send_unsent_releases(n);
-	if (n->self_id && n->now_ms >= n->next_release_request_ms) {
-		n->next_release_request_ms =
+	if (n->self_id && n->now_ms >= n->next_release_request_at_ms) {
+		n->next_release_request_at_ms =
 			n->now_ms + RELEASE_REQUEST_INTERVAL_MS;
 		send_release_requests(n);
 	}
--- a/member/internal.h
+++ b/member/internal.h
@@ -76,7 +76,7 @@
 int64_t takeover_last_promise_at_ms(const struct member_node *n,
 				    int64_t subject);
 void takeover_mark_stopped(struct member_node *n, const GArray *ids);
-void takeover_remove_member(struct member_node *n, int64_t subject);
+void takeover_on_member_removed(struct member_node *n, int64_t subject);
 
 /* holds.c */
 void holds_tick(struct member_node *n);
@@ -89,8 +89,8 @@
 bool holds_servers_report_grants(const struct member_node *n);
 bool holds_can_settle(const struct member_node *n, uint32_t shard);
 bool holds_is_idle(const struct member_node *n);
-void holds_hand_over(struct member_node *n);
-bool holds_hand_over_is_done(const struct member_node *n);
+void holds_send_ids(struct member_node *n);
+bool holds_send_ids_is_done(const struct member_node *n);
 void holds_on_ids_ack(struct member_node *n, const struct member_msg *msg);
 
 /* busy.c */
@@ -116,7 +116,7 @@
 void cached_record_free(gpointer p);
 
 /* member.c */
-void member_leave_incarnation(struct member_node *n);
+void member_end_incarnation(struct member_node *n);
 void member_state_replaced(struct member_node *n);
 
 #endif
--- a/member/member.c
+++ b/member/member.c
@@ -115,7 +115,7 @@
  * End this node's membership: it serves no shard and has no lease. Promises
  * that the process made as a witness remain.
  */
-void member_leave_incarnation(struct member_node *n)
+void member_end_incarnation(struct member_node *n)
 {
 	holds_reset(n);
 	g_array_set_size(n->own_witnesses, 0);
@@ -123,7 +123,7 @@
 	n->self_id = 0;
 	n->had_lease = false;
 	n->no_lease_since_ms = 0;
-	n->hand_over_since_ms = 0;
+	n->ids_sent_since_ms = 0;
 	g_array_set_size(n->ids_acked_by, 0);
 	n->denied_witnesses.n = 0;
 	n->ever_leased = false;
@@ -132,11 +132,11 @@
 static void on_member_joined(struct member_node *n, const struct member *m)
 {
 	if (!strcmp(m->service, n->join_info.service))
-		n->last_join_ms = n->now_ms;
+		n->service_last_join_at_ms = n->now_ms;
 	if (strcmp(m->nonce, n->join_info.nonce) ||
 	    strcmp(m->host, n->join_info.host))
 		return;
-	member_leave_incarnation(n);
+	member_end_incarnation(n);
 	n->self_id = m->id;
 	n->process = m->process;
 	n->join_info.process = m->process;
@@ -159,9 +159,9 @@
 		g_array_append_val(n->earlier_incarnations, m->id);
 	if (m->id == n->self_id) {
 		member_note(n, "expelled", n->self_id);
-		member_leave_incarnation(n);
+		member_end_incarnation(n);
 	}
-	takeover_remove_member(n, m->id);
+	takeover_on_member_removed(n, m->id);
 }
 
 static void on_event(void *user, const struct fleet_event *ev)
@@ -197,7 +197,7 @@
 {
 	COUNT(snapshots_loaded);
 	if (n->self_id && !fleet_member(&n->fleet, n->self_id))
-		member_leave_incarnation(n);
+		member_end_incarnation(n);
 	n->no_acquire_until_ms = n->now_ms + member_lease_wait_ms(n);
 	g_queue_free_full(n->cache, cached_record_free);
 	n->cache = g_queue_new();
@@ -228,9 +228,9 @@
 	 * can be proposed at once.
 	 */
 	if (n->fleet.configuration_version != version) {
-		n->next_append_ms[APPEND_PUBLISHED] = n->now_ms;
+		n->next_append_at_ms[APPEND_PUBLISHED] = n->now_ms;
 		/* The writer of this one continues; the others wait again. */
-		n->published_since_ms = n->now_ms;
+		n->published_wait_since_ms = n->now_ms;
 	}
 	sync_cache_record(n, offset, append_id, record);
 	if (n->fleet.snapshot_offset != snapshot)
@@ -268,7 +268,7 @@
 	 * again, while the first in turn may be down.
 	 */
 	if (!pending)
-		n->published_since_ms = n->now_ms;
+		n->published_wait_since_ms = n->now_ms;
 }
 
 void member_set_server_instance(struct member_node *n, const char *instance)
@@ -373,8 +373,8 @@
 	    n->now_ms < n->next_resign_at_ms)
 		return;
 	n->next_resign_at_ms = n->now_ms + RESIGN_INTERVAL_MS;
-	holds_hand_over(n);
-	if (!holds_hand_over_is_done(n))
+	holds_send_ids(n);
+	if (!holds_send_ids_is_done(n))
 		return;
 	for (i = 0; i < m->witnesses.n; i++)
 		send_resign(n, m->witnesses.id[i]);
@@ -475,9 +475,9 @@
 	 * ends this membership and joins again.
 	 */
 	if (wanted && n->resigning)
-		member_leave_incarnation(n);
+		member_end_incarnation(n);
 	n->resigning = !wanted && n->self_id;
-	n->next_join_ms = n->now_ms;
+	n->next_join_at_ms = n->now_ms;
 }
 
 bool member_is_witness(const struct member_node *n)
--- a/member/member.h
+++ b/member/member.h
@@ -132,7 +132,7 @@
 	APPEND_WITNESSES,
 	APPEND_BALANCE,
 	APPEND_SNAPSHOT,
-	APPEND_GIVE,
+	APPEND_MOVE,
 	APPEND_PLACE,
 	APPEND_PUBLISHED,
 	N_APPEND_KINDS,
@@ -227,7 +227,8 @@
 	bool published_in_force; /* all up to there is, and log_caught_up */
 	bool had_lease; /* had one at the last tick */
 	int64_t no_lease_since_ms; /* 0 while there is one */
-	struct witness_set unfit; /* witnesses that did not answer us */
+	struct witness_set
+		unresponsive_witnesses; /* witnesses that did not answer us */
 	/* Witnesses that promised not to vouch for us again. */
 	struct witness_set denied_witnesses;
 	int64_t last_tick_at_ms;
@@ -239,23 +240,23 @@
 	 */
 	int64_t no_acquire_until_ms;
 	int64_t next_vouch_request_at_ms;
-	int64_t next_join_ms;
-	int64_t next_release_request_ms;
+	int64_t next_join_at_ms;
+	int64_t next_release_request_at_ms;
 	int64_t next_resign_at_ms;
-	int64_t next_unsettled_note_ms;
+	int64_t next_unsettled_note_at_ms;
 	GArray *ids_acked_by; /* int64_t successors that have our ids */
 	/* int64_t ids of this host's earlier members, seen to be removed */
 	GArray *earlier_incarnations;
-	int64_t hand_over_since_ms; /* ids first sent on leaving; 0: not */
+	int64_t ids_sent_since_ms; /* ids first sent on leaving; 0: not */
 	int64_t behind_since_ms; /* a peer has applied more; 0: not */
 	int64_t ahead_peer;
 	int64_t ahead_applied;
 	int64_t unbalanced_since_ms;
 	int64_t snapshot_seen_at_ms;
-	int64_t last_join_ms; /* somebody of our service joined */
+	int64_t service_last_join_at_ms; /* somebody of our service joined */
 	int64_t unowned_since_ms; /* our service has unowned shards; 0: not */
 	int64_t published_source; /* -1: operators published nothing */
-	int64_t published_since_ms;
+	int64_t published_wait_since_ms;
 	uint32_t published_bytes;
 	/*
 	 * The changes from the configuration of version changes_base to the one
@@ -271,7 +272,7 @@
 	 */
 	json_t *operators_document;
 	int64_t operators_document_source;
-	int64_t next_append_ms[N_APPEND_KINDS];
+	int64_t next_append_at_ms[N_APPEND_KINDS];
 	uint32_t conflicts[N_APPEND_KINDS]; /* in a row */
 	bool append_pending[N_APPEND_KINDS];
 	GPtrArray *snapshot_parts; /* json_t * still to be appended */
@@ -285,17 +286,18 @@
 	uint32_t n_holds;
 	GQueue *cache; /* struct cached_record, newest last */
 	uint32_t cache_bytes;
-	int64_t next_fetch_ms;
+	int64_t next_fetch_at_ms;
 	bool log_read_due; /* records lacking here are to be read from the log */
-	int64_t next_relay_update_ms; /* for the next four fields */
+	int64_t next_relay_update_at_ms; /* for the next four fields */
 	bool is_log_reader; /* reads the log and sends new records to relays */
 	bool is_relay; /* sends records from log readers to followers */
 	GArray *relays; /* int64_t members that a log reader sends records to */
 	GArray *followers; /* int64_t members that we send records to */
 	/* When a message last came from a member that follows the log. */
 	int64_t last_relay_at_ms;
-	int64_t next_relay_keepalive_ms; /* to relays, if nothing else is sent */
-	int64_t next_follower_keepalive_ms; /* the same to followers */
+	int64_t next_relay_keepalive_at_ms; /* to relays, if nothing else is
+					       sent */
+	int64_t next_follower_keepalive_at_ms; /* the same to followers */
 	GArray *unsent_releases; /* int64_t shards, owner not told yet */
 	uint32_t disabled_rules; /* enum member_rule, tests only */
 	fleet_event_fn on_event; /* for the audit; may be NULL */
--- a/member/propose.c
+++ b/member/propose.c
@@ -77,7 +77,8 @@
 
 static bool may_append(const struct member_node *n, enum append_kind kind)
 {
-	return !n->append_pending[kind] && n->now_ms >= n->next_append_ms[kind];
+	return !n->append_pending[kind] &&
+	       n->now_ms >= n->next_append_at_ms[kind];
 }
 
 static int64_t conflict_backoff_ms(struct member_node *n, enum append_kind kind)
@@ -105,28 +106,28 @@
 	if (result != RESULT_CONFLICT)
 		n->conflicts[kind] = 0;
 	if (result == RESULT_OK) {
-		n->next_append_ms[kind] = n->now_ms + RETRY_MS;
+		n->next_append_at_ms[kind] = n->now_ms + RETRY_MS;
 		/*
 		 * If this record has been applied already, the next changes are
 		 * computed from it and need not wait.
 		 */
 		if (kind == APPEND_PUBLISHED &&
 		    n->changes_base != n->fleet.configuration_version)
-			n->next_append_ms[kind] = n->now_ms;
+			n->next_append_at_ms[kind] = n->now_ms;
 		/* Append the parts of a snapshot directly after each other. */
 		if (kind == APPEND_SNAPSHOT && n->snapshot_parts->len)
-			n->next_append_ms[kind] = n->now_ms;
+			n->next_append_at_ms[kind] = n->now_ms;
 		if (kind == APPEND_JOIN)
-			n->next_join_ms = n->now_ms + RETRY_MS;
+			n->next_join_at_ms = n->now_ms + RETRY_MS;
 		return;
 	}
 	if (result == RESULT_CONFLICT) {
-		n->next_append_ms[kind] =
+		n->next_append_at_ms[kind] =
 			n->now_ms + conflict_backoff_ms(n, kind);
-		n->next_join_ms = MIN(n->next_join_ms, n->now_ms);
+		n->next_join_at_ms = MIN(n->next_join_at_ms, n->now_ms);
 		return;
 	}
-	n->next_append_ms[kind] = n->now_ms + RETRY_MS + append_jitter_ms(n);
+	n->next_append_at_ms[kind] = n->now_ms + RETRY_MS + append_jitter_ms(n);
 }
 
 /*
@@ -200,14 +201,15 @@
 {
 	uint32_t i;
 
-	n->unfit.n = 0;
+	n->unresponsive_witnesses.n = 0;
 	for (i = 0; i < n->own_witnesses->len; i++) {
 		const struct witness_status *v = &g_array_index(
 			n->own_witnesses, struct witness_status, i);
 
-		if (n->unfit.n < FLEET_MAX_WITNESSES &&
+		if (n->unresponsive_witnesses.n < FLEET_MAX_WITNESSES &&
 		    n->now_ms - v->request_sent_at_ms > n->timing.lease_ms)
-			n->unfit.id[n->unfit.n++] = v->witness;
+			n->unresponsive_witnesses
+				.id[n->unresponsive_witnesses.n++] = v->witness;
 	}
 }
 
@@ -217,13 +219,13 @@
 		return;
 	if (!n->want_member || n->resigning || !n->log_caught_up)
 		return;
-	if (!n->next_join_ms && !fleet_n_members(&n->fleet))
-		n->next_join_ms =
+	if (!n->next_join_at_ms && !fleet_n_members(&n->fleet))
+		n->next_join_at_ms =
 			n->now_ms +
 			g_rand_int_range(n->rand, 0, FIRST_JOIN_SPREAD_MS);
-	if (!may_append(n, APPEND_JOIN) || n->now_ms < n->next_join_ms)
+	if (!may_append(n, APPEND_JOIN) || n->now_ms < n->next_join_at_ms)
 		return;
-	n->next_join_ms = n->now_ms + RETRY_MS + append_jitter_ms(n);
+	n->next_join_at_ms = n->now_ms + RETRY_MS + append_jitter_ms(n);
 	/*
 	 * End the old incarnation before the append. Other nodes may read the
 	 * new join record before this node does, and take over this node's
@@ -232,9 +234,9 @@
 	 */
 	if (n->self_id) {
 		collect_unresponsive_witnesses(n);
-		member_leave_incarnation(n);
+		member_end_incarnation(n);
 	}
-	assign_witnesses(&n->fleet, &n->join_info, &n->unfit,
+	assign_witnesses(&n->fleet, &n->join_info, &n->unresponsive_witnesses,
 			 preferred_witness_above(n), &n->join_info.witnesses);
 	g_snprintf(n->join_info.nonce, sizeof(n->join_info.nonce), "%08x%08x",
 		   g_rand_int(n->rand), g_rand_int(n->rand));
@@ -303,7 +305,7 @@
 static bool expel_due(const struct member_node *n, const struct member *m)
 {
 	if (m->id == n->self_id)
-		return n->resigning && holds_hand_over_is_done(n);
+		return n->resigning && holds_send_ids_is_done(n);
 	if (log_witnessed_expired(n, m))
 		return true;
 	return takeover_stop_proved(n, m->id) &&
@@ -377,9 +379,9 @@
 	if (m->old_witnesses.n && lease_obtainable_from(n, &m->witnesses))
 		return;
 	if (!needs_new_witnesses(n, m)) {
-		n->next_append_ms[APPEND_WITNESSES] = n->now_ms +
-						      WITNESS_CHANGE_DELAY_MS +
-						      append_jitter_ms(n);
+		n->next_append_at_ms[APPEND_WITNESSES] =
+			n->now_ms + WITNESS_CHANGE_DELAY_MS +
+			append_jitter_ms(n);
 		return;
 	}
 	if (!may_append(n, APPEND_WITNESSES))
@@ -467,7 +469,7 @@
 	if (!s || !n->self_id || !lease_valid(n) || n->resigning ||
 	    !may_append(n, APPEND_BALANCE))
 		return;
-	n->next_append_ms[APPEND_BALANCE] = n->now_ms + BALANCE_INTERVAL_MS;
+	n->next_append_at_ms[APPEND_BALANCE] = n->now_ms + BALANCE_INTERVAL_MS;
 	record = all_settled(s)
 			 ? assign_balance(&n->fleet, s, n->timing.move_batch)
 			 : NULL;
@@ -507,7 +509,7 @@
 
 	n->now_ms = MAX(n->now_ms, now_ms);
 	if (!s || !m || !n->self_id || n->resigning || !lease_valid(n) ||
-	    !may_append(n, APPEND_GIVE))
+	    !may_append(n, APPEND_MOVE))
 		return false;
 	record = record_move(s->name, n->self_id, "load");
 	assign_prepare(&n->fleet, s);
@@ -525,7 +527,7 @@
 		n_items++;
 	}
 	if (n_items)
-		member_append(n, APPEND_GIVE, record);
+		member_append(n, APPEND_MOVE, record);
 	else
 		json_decref(record);
 	return n_items;
@@ -621,7 +623,8 @@
 		n->unowned_since_ms = n->now_ms;
 	wait = MIN(assign_rank(&n->fleet, "place", n->self_id), 20) *
 	       RANK_STEP_MS;
-	if (n->now_ms - n->last_join_ms < PLACE_AFTER_JOIN_MS + wait &&
+	if (n->now_ms - n->service_last_join_at_ms <
+		    PLACE_AFTER_JOIN_MS + wait &&
 	    n->now_ms - n->unowned_since_ms < PLACE_MAX_WAIT_MS + wait)
 		return;
 	if (may_append(n, APPEND_PLACE))
@@ -693,7 +696,7 @@
 	if (n->self_id)
 		wait = assign_rank(&n->fleet, "publish", n->self_id) *
 		       publish_rank_step_ms(n);
-	if (n->now_ms - n->published_since_ms < wait)
+	if (n->now_ms - n->published_wait_since_ms < wait)
 		return;
 	compute_changes(n);
 	if (!n->changes)
--- a/member/sync.c
+++ b/member/sync.c
@@ -164,9 +164,9 @@
 	struct member *m;
 	uint32_t own_index, i;
 
-	if (n->now_ms < n->next_relay_update_ms)
+	if (n->now_ms < n->next_relay_update_at_ms)
 		return;
-	n->next_relay_update_ms = n->now_ms + RELAY_UPDATE_INTERVAL_MS;
+	n->next_relay_update_at_ms = n->now_ms + RELAY_UPDATE_INTERVAL_MS;
 	senders = assign_readers_and_relays(&n->fleet);
 	g_array_set_size(n->followers, 0);
 	g_array_set_size(n->relays, 0);
@@ -330,22 +330,22 @@
 	send_to_each(n, n->relays, &msg);
 	send_to_each(n, n->followers, &msg);
 	member_msg_finish(&msg);
-	n->next_relay_keepalive_ms = n->now_ms + RELAY_KEEPALIVE_MS;
-	n->next_follower_keepalive_ms = n->now_ms + FOLLOWER_KEEPALIVE_MS;
+	n->next_relay_keepalive_at_ms = n->now_ms + RELAY_KEEPALIVE_MS;
+	n->next_follower_keepalive_at_ms = n->now_ms + FOLLOWER_KEEPALIVE_MS;
 }
 
 /*
  * Tell members that this node follows the log, if it has sent them no records
- * for every_ms.
+ * for interval_ms.
  */
 static void send_keepalive(struct member_node *n, const GArray *to,
-			   int64_t *next_ms, int64_t every_ms)
+			   int64_t *next_at_ms, int64_t interval_ms)
 {
 	struct member_msg msg;
 
-	if (!to->len || n->now_ms < *next_ms || !follows_log(n))
+	if (!to->len || n->now_ms < *next_at_ms || !follows_log(n))
 		return;
-	*next_ms = n->now_ms + every_ms;
+	*next_at_ms = n->now_ms + interval_ms;
 	relay_msg_init(n, n->fleet.applied + 1, &msg);
 	send_to_each(n, to, &msg);
 	member_msg_finish(&msg);
@@ -358,9 +358,9 @@
 void sync_tick(struct member_node *n)
 {
 	update_relay_tree(n);
-	send_keepalive(n, n->relays, &n->next_relay_keepalive_ms,
+	send_keepalive(n, n->relays, &n->next_relay_keepalive_at_ms,
 		       RELAY_KEEPALIVE_MS);
-	send_keepalive(n, n->followers, &n->next_follower_keepalive_ms,
+	send_keepalive(n, n->followers, &n->next_follower_keepalive_at_ms,
 		       FOLLOWER_KEEPALIVE_MS);
 	if (n->fleet.applied >= n->ahead_applied) {
 		n->behind_since_ms = 0;
@@ -370,9 +370,9 @@
 	    n->now_ms - n->behind_since_ms <
 		    (n->log_up ? FETCH_DELAY_LOG_UP_MS : FETCH_DELAY_MS))
 		return;
-	if (n->now_ms < n->next_fetch_ms)
+	if (n->now_ms < n->next_fetch_at_ms)
 		return;
-	n->next_fetch_ms = n->now_ms + FETCH_DELAY_MS;
+	n->next_fetch_at_ms = n->now_ms + FETCH_DELAY_MS;
 	sync_fetch(n, n->ahead_peer);
 	/*
 	 * If that peer has failed, the next one that reports a newer offset is
--- a/member/takeover.c
+++ b/member/takeover.c
@@ -158,7 +158,7 @@
 }
 
 /* Delete all promises about a removed member, and its id in stopped_members. */
-void takeover_remove_member(struct member_node *n, int64_t subject)
+void takeover_on_member_removed(struct member_node *n, int64_t subject)
 {
 	uint32_t i;
 
--- a/node/backend.c
+++ b/node/backend.c
@@ -219,7 +219,7 @@
 
 void backend_tick(struct node *n)
 {
-	int64_t silent_ms = clock_now_ms() - n->life.heard_at_ms;
+	int64_t silent_ms = clock_now_ms() - n->life.last_heartbeat_at_ms;
 
 	if (!n->life.id[0] || n->backend_left || !n->gate.grants.n_shards)
 		return;
--- a/node/entry-answer.c
+++ b/node/entry-answer.c
@@ -230,7 +230,8 @@
 	take_bytes(r, m);
 	if ((m->flags & REQ_FLAG_END) && !whole(r, m)) {
 		COUNT(answers_cut);
-		entry_end_attempt(r, a, ATTEMPT_EVENT_MIXED, RESULT_MIXED);
+		entry_end_attempt(r, a, ATTEMPT_EVENT_INVALID_ANSWER,
+				  RESULT_MIXED);
 		return;
 	}
 	plan_attempt_event(&r->plan, a->number, ATTEMPT_EVENT_ANSWERED);
--- a/node/entry.c
+++ b/node/entry.c
@@ -156,8 +156,8 @@
 		return ATTEMPT_EVENT_IN_DOUBT;
 	if (m->number == RESULT_TIMEOUT)
 		return ATTEMPT_EVENT_SERVER_LATE;
-	return m->number == RESULT_MIXED ? ATTEMPT_EVENT_MIXED
-					 : ATTEMPT_EVENT_CUT;
+	return m->number == RESULT_MIXED ? ATTEMPT_EVENT_INVALID_ANSWER
+					 : ATTEMPT_EVENT_ANSWER_LOST;
 }
 
 /* All that the gate had to say came before this on its link. */
@@ -399,7 +399,8 @@
 			struct attempt *a = r->attempts[j];
 
 			if (waits_for(r, j, member))
-				give_up_attempt(r, a, ATTEMPT_EVENT_SUPERSEDED,
+				give_up_attempt(r, a,
+						ATTEMPT_EVENT_PROCESS_ENDED,
 						RESULT_UNREACHABLE, true);
 			else if (a && a->member == member)
 				entry_end_answer(r, a, false);
--- a/node/node.c
+++ b/node/node.c
@@ -78,7 +78,7 @@
 	      json_array_size(json_object_get(changes, "classes")),
 	      json_array_size(json_object_get(changes, "removed")),
 	      n->member.changes_complete ? "true" : "false",
-	      clock_now_ms() - n->member.published_since_ms);
+	      clock_now_ms() - n->member.published_wait_since_ms);
 }
 
 static json_t *op_published(void *user, const json_t *in_force)
@@ -233,7 +233,7 @@
 static void tell_configured(const struct node *n, const struct fleet_event *ev)
 {
 	const struct member_node *m = &n->member;
-	int64_t since = m->published_since_ms;
+	int64_t since = m->published_wait_since_ms;
 
 	EVENT(configured, NULL,
 	      "\"version\":%" PRId64 ",\"source\":%" PRId64
--- a/node/streams.c
+++ b/node/streams.c
@@ -287,7 +287,7 @@
 	/* What operators changed is in force elsewhere by now, or nobody reads.
 	 */
 	if (m->published_source > m->fleet.source_offset &&
-	    now - m->published_since_ms > DEAF_MS &&
+	    now - m->published_wait_since_ms > DEAF_MS &&
 	    now - n->log.read_sent_ms > DEAF_MS)
 		log_client_renew(&n->log);
 	if (!n->operators.ops)
--- a/route/plan.c
+++ b/route/plan.c
@@ -47,7 +47,7 @@
 		[ATTEMPT_NOT_SENT] = { ATTEMPT_NOT_RUN, false },
 		[ATTEMPT_SENT] = { ATTEMPT_NOT_RUN, false },
 	},
-	[ATTEMPT_EVENT_CUT] = {
+	[ATTEMPT_EVENT_ANSWER_LOST] = {
 		[ATTEMPT_NOT_SENT] = { ATTEMPT_STARTED, false },
 		[ATTEMPT_SENT] = { ATTEMPT_STARTED, false },
 	},
@@ -59,7 +59,7 @@
 		[ATTEMPT_NOT_SENT] = { ATTEMPT_UNKNOWN, false },
 		[ATTEMPT_SENT] = { ATTEMPT_UNKNOWN, false },
 	},
-	[ATTEMPT_EVENT_MIXED] = {
+	[ATTEMPT_EVENT_INVALID_ANSWER] = {
 		[ATTEMPT_NOT_SENT] = { ATTEMPT_STARTED, false },
 		[ATTEMPT_SENT] = { ATTEMPT_STARTED, false },
 	},
@@ -67,7 +67,7 @@
 		[ATTEMPT_NOT_SENT] = { ATTEMPT_NOT_SENT, false },
 		[ATTEMPT_SENT] = { ATTEMPT_SENT, true },
 	},
-	[ATTEMPT_EVENT_SUPERSEDED] = {
+	[ATTEMPT_EVENT_PROCESS_ENDED] = {
 		[ATTEMPT_NOT_SENT] = { ATTEMPT_NOT_SENT, false },
 		[ATTEMPT_SENT] = { ATTEMPT_UNKNOWN, false },
 	},
@@ -142,7 +142,7 @@
 enum plan_cause plan_cause(const struct plan_attempt *a)
 {
 	switch (a->last_event) {
-	case ATTEMPT_EVENT_SUPERSEDED:
+	case ATTEMPT_EVENT_PROCESS_ENDED:
 		return PLAN_CAUSE_gate_gone;
 	case ATTEMPT_EVENT_STOPPING:
 		return PLAN_CAUSE_stopping;
@@ -150,9 +150,9 @@
 		return PLAN_CAUSE_id_in_doubt;
 	case ATTEMPT_EVENT_SERVER_LATE:
 		return PLAN_CAUSE_server_late;
-	case ATTEMPT_EVENT_CUT:
+	case ATTEMPT_EVENT_ANSWER_LOST:
 		return PLAN_CAUSE_cut;
-	case ATTEMPT_EVENT_MIXED:
+	case ATTEMPT_EVENT_INVALID_ANSWER:
 		return PLAN_CAUSE_mixed;
 	default:
 		return a->lease_over ? PLAN_CAUSE_lease_over
--- a/route/plan.h
+++ b/route/plan.h
@@ -50,17 +50,17 @@
 	 * The gate reports that the request was handed to the backend server
 	 * and that no complete answer will follow.
 	 */
-	ATTEMPT_EVENT_CUT,
+	ATTEMPT_EVENT_ANSWER_LOST,
 	/* The same, as the server had not finished at the request's deadline. */
 	ATTEMPT_EVENT_SERVER_LATE,
 	/* The gate cannot tell whether an earlier request of this id has run. */
 	ATTEMPT_EVENT_IN_DOUBT,
 	/* The answer is incomplete or belongs to another request. */
-	ATTEMPT_EVENT_MIXED,
+	ATTEMPT_EVENT_INVALID_ANSWER,
 	/* The gate's lease is over; it may still finish started requests. */
 	ATTEMPT_EVENT_LEASE_OVER,
 	/* The log has removed the gate's member: its process is gone. */
-	ATTEMPT_EVENT_SUPERSEDED,
+	ATTEMPT_EVENT_PROCESS_ENDED,
 	/* Nothing was received from the gate by the caller's deadline. */
 	ATTEMPT_EVENT_TIMEOUT,
 	/* This process is stopping. */
--- a/t/test-schedules.c
+++ b/t/test-schedules.c
@@ -660,7 +660,7 @@
 
 	s->published = doc;
 	member_set_published(n, source, 400000, n->now_ms);
-	n->published_since_ms = n->now_ms - 10000;
+	n->published_wait_since_ms = n->now_ms - 10000;
 }
 
 /*
@@ -739,7 +739,7 @@
 	n->append_pending[APPEND_PUBLISHED] = true;
 	member_on_record(n, f->applied + 1, "1-x", r, n->now_ms);
 	member_append_done(n, APPEND_PUBLISHED, RESULT_OK, n->now_ms);
-	g_assert_cmpint(n->next_append_ms[APPEND_PUBLISHED], <=, n->now_ms);
+	g_assert_cmpint(n->next_append_at_ms[APPEND_PUBLISHED], <=, n->now_ms);
 	json_decref(r);
 	json_decref(doc);
 	sim_finish(&s);
--- a/t/test-start.c
+++ b/t/test-start.c
@@ -96,13 +96,13 @@
 	for (i = 0; i < 2; i++)
 		g_ptr_array_add(n->snapshot_parts,
 				record_snapshot(n->fleet.applied, i, 2, "", 0));
-	n->next_append_ms[APPEND_SNAPSHOT] = 0;
+	n->next_append_at_ms[APPEND_SNAPSHOT] = 0;
 	n->append_pending[APPEND_SNAPSHOT] = false;
 	member_tick(n, n->now_ms);
 	g_assert_true(n->append_pending[APPEND_SNAPSHOT]);
 	member_append_done(n, APPEND_SNAPSHOT, RESULT_CONFLICT, n->now_ms);
 	g_assert_cmpuint(n->snapshot_parts->len, ==, 2);
-	n->next_append_ms[APPEND_SNAPSHOT] = 0;
+	n->next_append_at_ms[APPEND_SNAPSHOT] = 0;
 	member_tick(n, n->now_ms);
 	member_append_done(n, APPEND_SNAPSHOT, RESULT_OK, n->now_ms);
 	g_assert_cmpuint(n->snapshot_parts->len, ==, 1);
@@ -228,12 +228,12 @@
 	for (i = 0; i < 40; i++) {
 		member_append_done(n, APPEND_JOIN, RESULT_CONFLICT, n->now_ms);
 		longest = MAX(longest,
-			      n->next_append_ms[APPEND_JOIN] - n->now_ms);
+			      n->next_append_at_ms[APPEND_JOIN] - n->now_ms);
 	}
 	g_assert_cmpint(longest, >, 500);
 	member_append_done(n, APPEND_JOIN, RESULT_OK, n->now_ms);
 	member_append_done(n, APPEND_JOIN, RESULT_CONFLICT, n->now_ms);
-	g_assert_cmpint(n->next_append_ms[APPEND_JOIN] - n->now_ms, <=, 30);
+	g_assert_cmpint(n->next_append_at_ms[APPEND_JOIN] - n->now_ms, <=, 30);
 	sim_finish(&s);
 }
 
@@ -251,7 +251,7 @@
 	for (i = 0; i < 20; i++) {
 		member_append_done(n, APPEND_SNAPSHOT, RESULT_CONFLICT,
 				   n->now_ms);
-		waited += n->next_append_ms[APPEND_SNAPSHOT] - n->now_ms;
+		waited += n->next_append_at_ms[APPEND_SNAPSHOT] - n->now_ms;
 	}
 	g_assert_cmpint(waited, >, 3000);
 	sim_finish(&s);
@@ -270,7 +270,8 @@
 	for (i = 0; i < 40; i++) {
 		member_append_done(n, APPEND_PUBLISHED, RESULT_CONFLICT,
 				   n->now_ms);
-		g_assert_cmpint(n->next_append_ms[APPEND_PUBLISHED] - n->now_ms,
+		g_assert_cmpint(n->next_append_at_ms[APPEND_PUBLISHED] -
+					n->now_ms,
 				<=, 30);
 	}
 	g_assert_true(member_append_may_follow(APPEND_PUBLISHED));
