--- a/gate/limit.c
+++ b/gate/limit.c
@@ -97,7 +97,7 @@
 	l->n_recent++;
 }
 
-static void grow(struct limit *l, int64_t now_ms)
+static void increase_limit(struct limit *l, int64_t now_ms)
 {
 	/*
 	 * The limit rises with time, not with the number of answers, since a
@@ -139,7 +139,7 @@
 	/* Do not raise the limit while answers are slower than usual. */
 	if (!had_baseline ||
 	    l->recent_ms <= SLOW_FACTOR * l->base_ms + SLOW_SLACK_MS)
-		grow(l, now_ms);
+		increase_limit(l, now_ms);
 }
 
 /*
--- a/member/internal.h
+++ b/member/internal.h
@@ -117,6 +117,6 @@
 
 /* member.c */
 void member_end_incarnation(struct member_node *n);
-void member_state_replaced(struct member_node *n);
+void member_on_state_replaced(struct member_node *n);
 
 #endif
--- a/member/member.c
+++ b/member/member.c
@@ -193,7 +193,7 @@
  * Bring the node in line with a state that was loaded from a snapshot, which
  * gives no event for each change.
  */
-void member_state_replaced(struct member_node *n)
+void member_on_state_replaced(struct member_node *n)
 {
 	COUNT(snapshots_loaded);
 	if (n->self_id && !fleet_member(&n->fleet, n->self_id))
@@ -249,7 +249,7 @@
 	if (err)
 		return err;
 	n->fleet.snapshot_upto = n->fleet.applied;
-	member_state_replaced(n);
+	member_on_state_replaced(n);
 	return RESULT_OK;
 }
 
--- a/member/sync.c
+++ b/member/sync.c
@@ -488,7 +488,7 @@
 		return;
 	}
 	if (!fleet_load_snapshot(&n->fleet, state)) {
-		member_state_replaced(n);
+		member_on_state_replaced(n);
 		check_caught_up(n, msg);
 	}
 	json_decref(state);
--- a/model/experiment.c
+++ b/model/experiment.c
@@ -116,8 +116,8 @@
 	/* Only a class listed before may be called, which rules out cycles. */
 	calls = json_check_string(c, o, path, "calls", "", NAME_MAX_LEN);
 	e->n_classes = i;
-	k->calls = calls[0] ? find_class(e, calls) : MODEL_NONE;
-	if (calls[0] && k->calls == MODEL_NONE)
+	k->called_class = calls[0] ? find_class(e, calls) : MODEL_NONE;
+	if (calls[0] && k->called_class == MODEL_NONE)
 		json_check_fail(
 			c, path,
 			"calls must name a class listed before this one");
--- a/model/model.h
+++ b/model/model.h
@@ -46,7 +46,8 @@
 	bool repeatable;
 	uint32_t attempts; /* most servers that one request may reach */
 	uint32_t retries; /* by the caller, after a refusal */
-	uint32_t calls; /* class called during its work; MODEL_NONE: none */
+	uint32_t called_class; /* class called during its work; MODEL_NONE: none
+				*/
 	double call_share; /* share of its requests that make the call */
 	double worth; /* of a request answered within the target */
 	double late_worth; /* of a request answered late */
--- a/model/server.c
+++ b/model/server.c
@@ -122,7 +122,7 @@
 
 	if (j->state != JOB_RUNNING)
 		return;
-	c = entry_request_new(m, class_of(j->request)->calls, j->gate);
+	c = entry_request_new(m, class_of(j->request)->called_class, j->gate);
 	c->parent = j;
 	c->plan.deadline_ms =
 		MIN(c->plan.deadline_ms, j->request->plan.deadline_ms);
@@ -158,7 +158,8 @@
 	j->succeeded = true;
 	admission_started(&j->gate->admission, now_ms(m));
 	work_us = (int64_t)(draw_work_ms(m, j) * US_PER_MS);
-	if (k->calls != MODEL_NONE && g_rand_double(m->rand) < k->call_share)
+	if (k->called_class != MODEL_NONE &&
+	    g_rand_double(m->rand) < k->call_share)
 		model_schedule(m, m->now_us + work_us / 2, send_call, j);
 	else
 		model_schedule(m, m->now_us + work_us, end_job, j);
