--- a/gate/admission.c
+++ b/gate/admission.c
@@ -46,7 +46,10 @@
 
 	if (!in->remote)
 		return true;
-	/* Sent before the long answers that are reserved but not yet ready. */
+	/*
+	 * A short answer is sent before the long answers that are reserved but
+	 * not yet ready.
+	 */
 	if (bytes < SHORT_ANSWER_BYTES)
 		return now_ms + link_backlog_ms(&a->link, now_ms) <=
 		       in->deadline_ms;
--- a/gate/grant-beat.c
+++ b/gate/grant-beat.c
@@ -44,7 +44,10 @@
 
 static void mark_not_reported(struct grant *s, int64_t heartbeat)
 {
-	/* This heartbeat cannot report a grant in its own or a later answer. */
+	/*
+	 * A shard granted in the answer to this heartbeat, or to a later one,
+	 * cannot be reported by this heartbeat yet.
+	 */
 	if (heartbeat <= s->heartbeat_number)
 		return;
 	s->may_hold_until_ms = 0;
@@ -160,7 +163,10 @@
 	return n;
 }
 
-/* Adds a row. Merges it with the last one if they are adjacent and alike. */
+/*
+ * Adds a row. Merges it with the last one if their keys are adjacent and fence
+ * and handover are equal.
+ */
 static void append_or_merge_row(GArray *ranked, const struct ranked_row *n)
 {
 	struct ranked_row *last =
@@ -198,10 +204,10 @@
 
 /*
  * Whether the backend server holds a shard that the log assigns to this node
- * but that this node may not serve yet, since another may still be serving it.
- * If an answer omits such a shard, the backend server releases it; if an answer
- * renews it, the shard may have two holders. So until this is settled, answers
- * name no rows at all.
+ * but that this node may not serve yet, since another node may still be serving
+ * it. If an answer omits such a shard, the backend server releases it; if an
+ * answer renews it, the shard may have two holders. So until this is settled,
+ * answers name no rows at all.
  */
 static bool holds_undecided_shard(const struct grants *g,
 				  const struct grant_owner *o)
--- a/gate/grant-call.c
+++ b/gate/grant-call.c
@@ -196,9 +196,9 @@
 		return action;
 	}
 	/*
-	 * A shard that the log assigns to this node, or will, is not released
-	 * although the node may not serve it now: granted again later, it would
-	 * come back with cold caches.
+	 * A shard that the log assigns to this node, or is about to, is not
+	 * released although the node may not serve it now. Granted again after
+	 * a release, it would be served with cold caches.
 	 */
 	action.release = s->state != GRANT_FREE && o->is_caught_up &&
 			 !o->ops->expects(o->user, i);
@@ -427,7 +427,7 @@
 		g_clear_pointer(&s->handover_out, g_free);
 		break;
 	case GRANT_FENCED:
-		/* The answer does not tell which key has the higher fence. */
+		/* The answer does not name the key with the higher fence. */
 		if (c->first == c->last)
 			s->rejected_fence = c->row.fence;
 		s->single_shard_calls = true;
--- a/gate/grant-call.h
+++ b/gate/grant-call.h
@@ -37,7 +37,7 @@
 	GRANT_APPLIED, /* acknowledged by the backend server */
 	GRANT_FENCED, /* refused: a key was granted under a higher fence */
 	GRANT_NOT_APPLIED, /* not applied, and will not be */
-	GRANT_IN_DOUBT, /* no answer, or one that does not tell */
+	GRANT_IN_DOUBT, /* no answer, or one that leaves the outcome open */
 };
 
 struct grant_call {
--- a/gate/grants.h
+++ b/gate/grants.h
@@ -192,8 +192,8 @@
 /*
  * Appends the handover that the backend server gave for a shard to out, for the
  * next owner of the shard: GRANTS_ENTRY_LEN numbers (shard, handover, a mark
- * that tells it from the entries of ids_export(), number of digits). Appends
- * nothing if there is no handover.
+ * that distinguishes it from the entries of ids_export(), number of digits).
+ * Appends nothing if there is no handover.
  */
 #define GRANTS_ENTRY_LEN 4
 void grants_export(const struct grants *g, uint32_t shard, GArray *out);
--- a/gate/link.h
+++ b/gate/link.h
@@ -6,10 +6,10 @@
 
 /*
  * Estimates the backlog of a host's network link from its rate and the bytes
- * handed to it. Nothing else tells how long the next answer will take to reach
- * the other end. Bytes are reserved when a request is queued, by the average
- * answer of its class, and count as sent when the answer is sent. Reads no
- * clock; the time is passed in.
+ * handed to it. There is no other way to predict how long the next answer will
+ * take to reach the other end. Bytes are reserved when a request is queued, by
+ * the average answer of its class, and count as sent when the answer is sent.
+ * Reads no clock; the time is passed in.
  */
 
 struct link {
--- a/gate/queue.c
+++ b/gate/queue.c
@@ -7,7 +7,10 @@
 #define SMOOTHING_WEIGHT 0.1
 /* Share of a class's average time in which many of its requests finish. */
 #define MIN_WORK_SHARE 0.5
-/* Share of the time left until the last is due: a longer wait is congestion. */
+/*
+ * Requests of one work_log2 are congested when the wait for the last of them is
+ * expected to take more than this share of the time until it is due.
+ */
 #define CONGESTED_SHARE 0.25
 
 void queue_init(struct queue *q, uint32_t max)
@@ -337,7 +340,10 @@
 	uint32_t best = q->heap->len;
 	uint32_t i;
 
-	/* The first in order, since those behind it may be in time without it. */
+	/*
+	 * Of the requests that cannot finish in time, take the first in heap
+	 * order: without it, those behind it may finish in time.
+	 */
 	for (i = 0; i < q->heap->len; i++)
 		if (!can_finish_in_time(q, now_ms, entry_at(q, i), true,
 					n_in_flight, slots) &&
--- a/member/holds.c
+++ b/member/holds.c
@@ -381,8 +381,8 @@
 }
 
 /*
- * Append the ids seen on shard i. An entry with id 0 tells for how many ms ids
- * of previous owners have been missing here.
+ * Append the ids seen on shard i. An entry with id 0 reports for how many ms
+ * ids of previous owners have been missing here.
  */
 static void export_shard_ids(struct member_node *n, uint32_t i, GArray *out)
 {
--- a/member/internal.h
+++ b/member/internal.h
@@ -19,8 +19,8 @@
 }
 
 /*
- * How long after its last vouch a witness waits until the lease that rests on
- * it has ended, whatever the difference of the two clocks.
+ * How long a witness waits after its last vouch. By then the lease that rests
+ * on that vouch has ended, even if the two clocks differ by drift_ppm.
  */
 static inline int64_t member_lease_wait_ms(const struct member_node *n)
 {
--- a/member/lease.c
+++ b/member/lease.c
@@ -297,7 +297,9 @@
 	n->next_vouch_request_at_ms = MIN(n->next_vouch_request_at_ms, soon);
 }
 
-/* Send vouch requests when due, and log when the lease is gained or lapses. */
+/*
+ * Send vouch requests when due, and report when the lease is gained or lapses.
+ */
 void lease_tick(struct member_node *n)
 {
 	const struct member *m = fleet_member(&n->fleet, n->self_id);
--- a/member/member.c
+++ b/member/member.c
@@ -105,7 +105,7 @@
 	n->ops->append(n->ops_user, kind, r);
 }
 
-/* Log a change of state. */
+/* Report a change of state for the log output. */
 void member_note(struct member_node *n, const char *what, int64_t subject)
 {
 	n->ops->note(n->ops_user, what, subject);
@@ -229,7 +229,11 @@
 	 */
 	if (n->fleet.configuration_version != version) {
 		n->next_append_at_ms[APPEND_PUBLISHED] = n->now_ms;
-		/* The writer of this one continues; the others wait again. */
+		/*
+		 * Restart the wait: the first member by rank, which usually
+		 * wrote this record, appends the next one at once, and the
+		 * others wait again.
+		 */
 		n->published_wait_since_ms = n->now_ms;
 	}
 	sync_cache_record(n, offset, append_id, record);
@@ -347,7 +351,7 @@
 	check_published_in_force(n);
 }
 
-/* Tell one witness that this node has stopped. */
+/* Report to one witness that this node has stopped serving. */
 static void send_resign(struct member_node *n, int64_t process)
 {
 	const struct member *to = fleet_member_by_process(&n->fleet, process);
@@ -361,8 +365,9 @@
 }
 
 /*
- * Once a resigning node is idle: give the request ids to its successors, then
- * tell its witnesses. Both are repeated while the node is a member.
+ * Once a resigning node is idle, send the request ids to its successors. Once
+ * they have acknowledged them, or the wait for that has timed out, send the
+ * resignation to its witnesses. Both are repeated while the node is a member.
  */
 static void resign_tick(struct member_node *n)
 {
@@ -388,7 +393,7 @@
 
 	/*
 	 * A process that was paused has received no requests meanwhile, and
-	 * would promise that members have stopped which still run. Waiting
+	 * would promise not to vouch again for members that still run. Waiting
 	 * longer is safe.
 	 */
 	for (i = 0; i < n->witnessed->len; i++)
@@ -469,10 +474,10 @@
 	n->now_ms = MAX(n->now_ms, now_ms);
 	n->want_member = wanted;
 	/*
-	 * Witnesses that were told of a resignation make their promise at once,
-	 * without waiting for the lease to end. If this node cancelled its
-	 * resignation, it could serve at the same time as its successors, so it
-	 * ends this membership and joins again.
+	 * Witnesses that have received a resignation make their promise at
+	 * once, without waiting for the lease to end. If this node cancelled
+	 * its resignation, it could serve at the same time as its successors,
+	 * so it ends this membership and joins again.
 	 */
 	if (wanted && n->resigning)
 		member_end_incarnation(n);
--- a/member/member.h
+++ b/member/member.h
@@ -15,8 +15,8 @@
  * - A member serves only while it has a lease. It sends vouch requests to its
  *   witnesses, which are other members, or the log in a small fleet. Each vouch
  *   extends the lease, which needs vouches of a majority of the witnesses.
- * - A witness that got no request for longer than a lease, or that was told of
- *   a member's resignation, promises never to vouch for that member again. The
+ * - A witness that got no request for longer than a lease, or that received a
+ *   resignation, promises never to vouch for that member again. The
  *   promises of a majority prove that the member has stopped, and its
  *   successors then take its shards over.
  * - In a planned move the new owner waits until the previous owner has released
@@ -51,10 +51,13 @@
 	HOLD_RELEASING, /* no new requests; waits for those in flight */
 };
 
-/* Predecessors known not to serve a shard, of the last move of the shard. */
+/*
+ * Bits of hold::released_by: predecessors in the shard's last move that are
+ * known not to serve the shard.
+ */
 #define RELEASED_BY_PREV_OWNER 1
 #define RELEASED_BY_PREV_SUCCESSOR 2
-/* The same of the move before, if that was not settled. */
+/* The same for the move before that one, if it is not settled yet. */
 #define RELEASED_BY_OLDER_OWNER 4
 #define RELEASED_BY_OLDER_SUCCESSOR 8
 
@@ -96,7 +99,7 @@
 	int64_t since_ms; /* 0: none */
 };
 
-/* What a member knows of one of its witnesses. */
+/* State that a member keeps for each of its witnesses. */
 struct witness_status {
 	int64_t witness; /* process id */
 	int64_t member; /* newest member id of that process, 0 unknown */
@@ -106,10 +109,13 @@
 	bool denied; /* it has promised not to vouch again */
 };
 
-/* What a witness knows of a member that it vouches for. */
+/* State that a witness keeps for each member that it vouches for. */
 struct witnessed_member {
 	int64_t subject; /* member id */
-	/* Last vouch request, or later end of a pause of this node. */
+	/*
+	 * Time of the last vouch request, or of the end of a pause of this
+	 * process if that came later.
+	 */
 	int64_t last_request_at_ms;
 	int64_t promise_sent_at_ms; /* when the promise was last sent */
 	int64_t promise_offset; /* applied offset when it was made */
@@ -191,7 +197,10 @@
 	 * document has the configuration in force instead.
 	 */
 	json_t *(*load_published)(void *user, const json_t *in_force);
-	/* Log a change of state; what is one of NOTE_* or another text. */
+	/*
+	 * Report a change of state for the log output; what is one of NOTE_* or
+	 * another text.
+	 */
 	void (*note)(void *user, const char *what, int64_t subject);
 };
 
@@ -222,9 +231,16 @@
 	int64_t joined_at_ms; /* when this incarnation began */
 	bool peer_caught_up; /* has once had all records of a current peer */
 	bool operator_stream_pending; /* not yet read to its end */
-	/* Where the operators' stream ended when first read to its end. */
+	/*
+	 * Offset at which the operators' stream ended when it was first read to
+	 * its end.
+	 */
 	int64_t required_source_offset;
-	bool published_in_force; /* all up to there is, and log_caught_up */
+	/*
+	 * Everything up to required_source_offset is in force, and
+	 * log_caught_up.
+	 */
+	bool published_in_force;
 	bool had_lease; /* had one at the last tick */
 	int64_t no_lease_since_ms; /* 0 while there is one */
 	struct witness_set
@@ -235,7 +251,7 @@
 	/* Start of the last read that reached the log's end. */
 	int64_t log_read_started_at_ms;
 	/*
-	 * Shards are not acquired before, unless their predecessors can be
+	 * No shard is acquired before this time, unless its predecessors can be
 	 * asked.
 	 */
 	int64_t no_acquire_until_ms;
@@ -245,17 +261,24 @@
 	int64_t next_resign_at_ms;
 	int64_t next_unsettled_note_at_ms;
 	GArray *ids_acked_by; /* int64_t successors that have our ids */
-	/* int64_t ids of this host's earlier members, seen to be removed */
+	/*
+	 * int64_t ids of earlier members of this host whose removal this
+	 * process has seen
+	 */
 	GArray *earlier_incarnations;
-	int64_t ids_sent_since_ms; /* ids first sent on leaving; 0: not */
+	int64_t ids_sent_since_ms; /* resigning: ids first sent; 0: not yet */
 	int64_t behind_since_ms; /* a peer has applied more; 0: not */
 	int64_t ahead_peer;
 	int64_t ahead_applied;
 	int64_t unbalanced_since_ms;
 	int64_t snapshot_seen_at_ms;
-	int64_t service_last_join_at_ms; /* somebody of our service joined */
+	int64_t service_last_join_at_ms;
 	int64_t unowned_since_ms; /* our service has unowned shards; 0: not */
 	int64_t published_source; /* -1: operators published nothing */
+	/*
+	 * When the wait of this node before it proposes changes that operators
+	 * published began: they were read, or another version came into force.
+	 */
 	int64_t published_wait_since_ms;
 	uint32_t published_bytes;
 	/*
@@ -288,7 +311,8 @@
 	uint32_t cache_bytes;
 	int64_t next_fetch_at_ms;
 	bool log_read_due; /* records lacking here are to be read from the log */
-	int64_t next_relay_update_at_ms; /* for the next four fields */
+	/* when the next four fields are updated */
+	int64_t next_relay_update_at_ms;
 	bool is_log_reader; /* reads the log and sends new records to relays */
 	bool is_relay; /* sends records from log readers to followers */
 	GArray *relays; /* int64_t members that a log reader sends records to */
@@ -298,15 +322,15 @@
 	int64_t next_relay_keepalive_at_ms; /* to relays, if nothing else is
 					       sent */
 	int64_t next_follower_keepalive_at_ms; /* the same to followers */
-	GArray *unsent_releases; /* int64_t shards, owner not told yet */
+	GArray *unsent_releases; /* int64_t shards; releases to be sent */
 	uint32_t disabled_rules; /* enum member_rule, tests only */
 	fleet_event_fn on_event; /* for the audit; may be NULL */
 	void *on_event_user;
 };
 
 /*
- * Initialise n, whose memory the caller owns. join_info is what the join record
- * says of this node; seed makes the jitter repeatable. ops and ops_user must
+ * Initialise n, whose memory the caller owns. join_info is the content of this
+ * node's join record; seed makes the jitter repeatable. ops and ops_user must
  * outlive n.
  */
 void member_init(struct member_node *n, const struct member *join_info,
@@ -355,8 +379,9 @@
 
 /*
  * Operators published a change in a stream of their own, which has been read up
- * to offset source; bytes is the length of the document. One member after the
- * other may propose it to the log, so that only the proposer has to load it.
+ * to offset source; bytes is the length of the document. Members propose it to
+ * the log in the order of their ranks; only a member that proposes it has to
+ * load it.
  */
 void member_set_published(struct member_node *n, int64_t source, uint32_t bytes,
 			  int64_t now_ms);
@@ -391,7 +416,10 @@
  */
 void member_set_server_instance(struct member_node *n, const char *instance);
 
-/* Replace the state by a snapshot from the log. Returns as fleet_load(). */
+/*
+ * Replace the state by a snapshot from the log. Returns as
+ * fleet_load_snapshot().
+ */
 int member_load_snapshot(struct member_node *n, const json_t *snapshot,
 			 int64_t now_ms);
 
@@ -402,8 +430,9 @@
 bool member_is_caught_up(const struct member_node *n);
 
 /*
- * Whether, in addition, all that operators had published by then has been in
- * force here. Until then a caller may get answers by an outdated configuration.
+ * Whether, in addition to member_is_caught_up(), all that operators had
+ * published by then has been in force here. Until then a caller may get answers
+ * by an outdated configuration.
  */
 bool member_is_current(const struct member_node *n);
 
@@ -461,8 +490,8 @@
 		     int64_t now_ms, int64_t *fence, int64_t *lease_end_ms);
 
 /*
- * The same without the check of the lease, for a caller that has checked its
- * end once for many shards. Sets fence when true.
+ * Like member_may_serve() without the check of the lease, for a caller that has
+ * checked its end once for many shards. Sets fence when true.
  */
 bool member_holds(const struct member_node *n, uint32_t shard, int64_t *fence);
 
@@ -528,13 +557,18 @@
 	RULE_SUCCESSOR_CATCHES_UP = 1 << 4,
 	/* A shard is acquired only after its predecessors released it. */
 	RULE_RELEASE_BEFORE_HOLD = 1 << 5,
-	/* A moved shard is released only after the witnesses applied that. */
+	/*
+	 * A moved shard is released only after the witnesses applied the move.
+	 */
 	RULE_WITNESSES_KNOW_MOVE = 1 << 6,
 	/* Replaced witnesses count until the change is settled. */
 	RULE_OLD_WITNESSES_COUNT = 1 << 7,
 	/* A shard of a restarted member is not acquired for a lease's length. */
 	RULE_RESTART_WAITS = 1 << 8,
-	/* Nor is any after a member with the log as a witness was removed. */
+	/*
+	 * No shard is acquired for a lease's length after a member with the log
+	 * as a witness was removed.
+	 */
 	RULE_LOG_WITNESS_WAIT = 1 << 9,
 	/* A promise lasts though the member replaced the witness meanwhile. */
 	RULE_PROMISE_PERSISTS = 1 << 10,
--- a/member/propose.c
+++ b/member/propose.c
@@ -270,8 +270,9 @@
 
 /*
  * Whether a member with the log as witness may be expelled: each of its sets of
- * witnesses contains the log or has promised that it stopped, and it has sent
- * this node no vouch request for so long that its lease has ended.
+ * witnesses contains the log, or a majority of the set promised not to vouch
+ * for it again, and it has sent this node no vouch request for so long that its
+ * lease has ended.
  */
 static bool log_witnessed_expired(const struct member_node *n,
 				  const struct member *m)
--- a/member/sync.c
+++ b/member/sync.c
@@ -203,8 +203,8 @@
 }
 
 /*
- * Whether new records of the log reach this node, so that it can tell others
- * that there are none.
+ * Whether new records of the log reach this node, so that its keepalives can
+ * confirm to others that there are none.
  */
 static bool follows_log(const struct member_node *n)
 {
@@ -313,8 +313,8 @@
 		msg->flags |= SENDER_FOLLOWS_LOG;
 	msg->text = format_records(n, offset);
 	/*
-	 * The receivers read long records from the log. The applied offset in
-	 * the message tells them that there are new ones.
+	 * The receivers read long records from the log. From the applied offset
+	 * in the message they learn that there are new ones.
 	 */
 	if (msg->text->len > RELAY_MAX_BYTES)
 		g_string_assign(msg->text, "[]");
--- a/member/takeover.c
+++ b/member/takeover.c
@@ -113,7 +113,7 @@
 }
 
 /*
- * Add members that a peer knows to have stopped: a hint for routing, not a
+ * Add members that a peer reports as stopped. This is a hint for routing, not a
  * proof.
  */
 void takeover_mark_stopped(struct member_node *n, const GArray *ids)
@@ -130,8 +130,8 @@
 }
 
 /*
- * A witness sends its promise not to vouch for a member again, which may be
- * this node.
+ * A witness sends its promise not to vouch for a member again. The member may
+ * be this node.
  */
 void takeover_on_promise(struct member_node *n, const struct member_msg *msg)
 {
@@ -172,8 +172,9 @@
 }
 
 /*
- * Delete the same of removed members for which there was no event, since a
- * snapshot was loaded.
+ * Delete the promises about members that a loaded snapshot no longer lists, and
+ * their ids in stopped_members. Loading a snapshot gives no event for a
+ * removal.
  */
 void takeover_tick(struct member_node *n)
 {
--- a/model/entry.c
+++ b/model/entry.c
@@ -268,7 +268,10 @@
 			r->jobs[i] = NULL;
 }
 
-/* Takes in what an answer, or with ms 0 a refusal, tells of the gate. */
+/*
+ * Updates the view of the gate from its answer, which took ms, or with ms 0
+ * from a refusal.
+ */
 static void record_answer(struct model *m, struct job *j, double ms)
 {
 	struct request *r = j->request;
--- a/route/balance.h
+++ b/route/balance.h
@@ -50,7 +50,7 @@
 
 /*
  * Chooses the shards to move and one of the other owners, an array of struct
- * balance_candidate, to receive them. may_move(user, shard) tells whether a
+ * balance_candidate, to receive them. may_move(user, shard) returns whether a
  * shard may move. Returns true if shards are to move: *target is then the
  * receiving member, the shards' numbers (uint32_t) are appended to shards, and
  * every further call within BALANCE_MIN_INTERVAL_MS returns false.
--- a/route/choose.h
+++ b/route/choose.h
@@ -6,9 +6,9 @@
 #include <glib.h>
 
 /*
- * Chooses the gate for a request, from what the entry knows of each gate: the
- * load that the gate reported in its answers, its latency, and the requests of
- * this entry that it has not answered yet.
+ * Chooses the gate for a request, from what the entry has recorded of each
+ * gate: the load that the gate reported in its answers, its latency, and the
+ * requests of this entry that it has not answered yet.
  */
 
 struct gate_view {
@@ -79,7 +79,7 @@
 
 /*
  * The gate answered or refused a request, and reported its load and limit.
- * latency_ms is 0 when the answer says nothing about latency.
+ * latency_ms is 0 when the latency is not to be recorded, as for a refusal.
  */
 void chooser_answered(struct chooser *c, int64_t member, double latency_ms,
 		      double load, double limit, int64_t now_ms);
--- a/route/cost.c
+++ b/route/cost.c
@@ -6,13 +6,19 @@
 #define LATENCY_WEIGHT 0.05
 #define SIZE_WEIGHT 0.1
 #define BYTES_PER_KB 1024.0
-/* Hedges are not sent earlier: they draw on the same budget as retries. */
+/*
+ * A hedge is not sent before this many average latencies have passed, since
+ * hedges draw on the same budget as retries.
+ */
 #define HEDGE_LATENCY_FACTOR 1.6
-/* Before this share of the target the first answer may still be in time. */
+/*
+ * A hedge is not sent before this share of the latency target has passed
+ * either, since until then the first answer may still be in time.
+ */
 #define HEDGE_TARGET_SHARE 0.5
 /*
- * The delay until the successor is asked is at least the latency target plus
- * the first and the average latency times the second.
+ * The request is sent to the successor after the latency target plus the first,
+ * or after the average latency times the second, whichever is later.
  */
 #define OWNER_HEDGE_MIN_MS 60
 #define OWNER_HEDGE_LATENCY_FACTOR 10
--- a/route/plan.c
+++ b/route/plan.c
@@ -9,8 +9,9 @@
 /* Retry-After when no refusing gate asked for a wait. */
 #define DEFAULT_RETRY_MS 200
 /*
- * Largest share of the time to the deadline that a caller is told to wait;
- * after a longer wait too little time would be left for its retry.
+ * Largest share of the time to the deadline that a refused caller is asked to
+ * wait before its retry; after a longer wait too little time would be left for
+ * its retry.
  */
 #define RETRY_SHARE 0.3
 /*
--- a/route/plan.h
+++ b/route/plan.h
@@ -53,13 +53,16 @@
 	ATTEMPT_EVENT_ANSWER_LOST,
 	/* The same, as the server had not finished at the request's deadline. */
 	ATTEMPT_EVENT_SERVER_LATE,
-	/* The gate cannot tell whether an earlier request of this id has run. */
+	/*
+	 * The gate does not know whether an earlier request with this id has
+	 * run.
+	 */
 	ATTEMPT_EVENT_IN_DOUBT,
 	/* The answer is incomplete or belongs to another request. */
 	ATTEMPT_EVENT_INVALID_ANSWER,
 	/* The gate's lease is over; it may still finish started requests. */
 	ATTEMPT_EVENT_LEASE_OVER,
-	/* The log has removed the gate's member: its process is gone. */
+	/* The log has removed the gate's member, and its process has ended. */
 	ATTEMPT_EVENT_PROCESS_ENDED,
 	/* Nothing was received from the gate by the caller's deadline. */
 	ATTEMPT_EVENT_TIMEOUT,
--- a/state/assign.c
+++ b/state/assign.c
@@ -323,9 +323,10 @@
 }
 
 /*
- * Enough that some are left when many are lost at once. A large fleet has the
- * square root of its size instead: as many as each of them then has members to
- * pass records on to.
+ * The least number of members that read or relay the log, enough that some
+ * remain when many fail at once. In a large fleet it is the square root of the
+ * number of members, so that each of them passes records on to about as many
+ * members.
  */
 #define MIN_READERS_AND_RELAYS 4
 
--- a/state/fleet.c
+++ b/state/fleet.c
@@ -325,8 +325,8 @@
 /*
  * A "place" record assigns key ranges in this many blocks of neighbouring
  * shards, spread over the members. Busy keys lie close together, so each member
- * gets a part of them. Each block is one range in what its backend server is
- * told to hold.
+ * gets a part of them. Each block is one range among those granted to its
+ * backend server.
  */
 #define PLACE_BLOCKS 128
 
@@ -631,8 +631,8 @@
 
 /*
  * Take the data centres out of changes whose writer had read less of the
- * operators' stream than the writer of earlier changes: it may not know which
- * data centres were taken out of service since.
+ * operators' stream than the writer of earlier changes: that writer may not
+ * have read which data centres were taken out of service since.
  */
 static void discard_data_centre_changes(json_t *changes)
 {
--- a/state/rejoin.c
+++ b/state/rejoin.c
@@ -82,8 +82,8 @@
 
 /*
  * Where the earlier incarnation was named as a successor, name the new one
- * instead. The new one can tell other nodes what its backend server holds, as
- * the server reports that in its heartbeats. Otherwise a member that takes
+ * instead. The new one can report to other nodes what its backend server holds,
+ * as the server reports that in its heartbeats. Otherwise a member that takes
  * over such a shard must wait as long as the earlier incarnation might still
  * have been granting it, which is a lease duration for each restart. With all
  * processes killed at once these waits added up to seven seconds without an
