--- a/gate/cold.c
+++ b/gate/cold.c
@@ -47,7 +47,7 @@
 	if (!cold_start_is_active(c, now_ms) ||
 	    c->per_s <= COLD_START_UNLIMITED || n >= COLD_START_MAX_SENT)
 		return true;
-	/* The n-th last request must have been sent a whole window ago. */
+	/* The n-th last request must have been sent at least a window ago. */
 	at = (c->next + COLD_START_MAX_SENT - n) % COLD_START_MAX_SENT;
 	return now_ms - c->sent_at_ms[at] >= WINDOW_MS;
 }
--- a/gate/grants.h
+++ b/gate/grants.h
@@ -70,12 +70,17 @@
 	bool reported_held;
 	/* The last answer that named rows did not name this shard. */
 	bool omitted;
-	/* Since when answers have had no room for this shard of ours, or 0. */
+	/*
+	 * Since when answers have had no room for this shard, which this node
+	 * owns; or 0.
+	 */
 	int64_t waiting_since_ms;
 
 	/* Handover from the previous holder, to be sent with the grant. */
 	char *handover_in;
-	/* Handover that our backend server gave when it released the shard. */
+	/*
+	 * Handover that the backend server returned when it released the shard.
+	 */
 	char *handover_out;
 };
 
@@ -101,7 +106,10 @@
 	/* Whether the backend server may hold a shard, by any earlier grant. */
 	bool (*may_hold)(const struct grants *g, uint32_t shard,
 			 int64_t now_ms);
-	/* Whether the backend server holds a shard of ours under fence. */
+	/*
+	 * Whether the backend server holds a shard that this node owns under
+	 * fence.
+	 */
 	bool (*server_holds)(const struct grants *g, uint32_t shard,
 			     int64_t fence, int64_t now_ms);
 };
--- a/member/member.c
+++ b/member/member.c
@@ -268,8 +268,8 @@
 	/*
 	 * The wait before this node proposes counts from the first change that
 	 * is not in force. Counted from the last one, changes in quick
-	 * succession would delay the nodes that are next in turn again and
-	 * again, while the first in turn may be down.
+	 * succession would delay the nodes of the next ranks again and again,
+	 * while the node of the first rank may be down.
 	 */
 	if (!pending)
 		n->published_wait_since_ms = n->now_ms;
--- a/member/member.h
+++ b/member/member.h
@@ -46,7 +46,8 @@
 
 enum hold_state {
 	HOLD_NONE, /* not served here */
-	HOLD_ACQUIRING, /* assigned to us; a predecessor may still serve it */
+	/* Assigned to this node; a predecessor may still serve it. */
+	HOLD_ACQUIRING,
 	HOLD_HELD, /* served here while the lease lasts */
 	HOLD_RELEASING, /* no new requests; waits for those in flight */
 };
@@ -57,7 +58,10 @@
  */
 #define RELEASED_BY_PREV_OWNER 1
 #define RELEASED_BY_PREV_SUCCESSOR 2
-/* The same for the move before that one, if it is not settled yet. */
+/*
+ * Bits of hold::released_by for the move before the last one, if it is not
+ * settled yet.
+ */
 #define RELEASED_BY_OLDER_OWNER 4
 #define RELEASED_BY_OLDER_SUCCESSOR 8
 
@@ -209,20 +213,21 @@
 	struct member_timing timing;
 	const struct member_ops *ops;
 	void *ops_user;
-	struct member join_info; /* content of our join record; id unused */
+	/* Content of this node's join record; id unused. */
+	struct member join_info;
 	GRand *rand;
 	int64_t now_ms;
-	int64_t self_id; /* our member id, 0 not a member */
-	int64_t process; /* id of our first membership, 0 never a member */
+	int64_t self_id; /* id of the present membership, 0: not a member */
+	int64_t process; /* id of the first membership, 0: never a member */
 	bool want_member; /* the node should be a member */
 	bool resigning; /* no new work; leaves when no request is in flight */
 	bool log_caught_up; /* has read to the log's end at least once */
 	bool log_up; /* the last read succeeded; set by the caller */
 	int64_t initial_log_end; /* the log's end when first read */
 	/*
-	 * Offset of the record that changed our witnesses, while that change is
-	 * being settled, 0 none. Meanwhile both the old and the new set have to
-	 * vouch; see lease_prepare_settle().
+	 * Offset of the record that changed the witnesses of this node, while
+	 * that change is being settled, 0 none. Meanwhile both the old and the
+	 * new set have to vouch; see lease_prepare_settle().
 	 */
 	int64_t settling_offset;
 	bool settle_sent; /* the record that settles it was appended */
@@ -243,9 +248,9 @@
 	bool published_in_force;
 	bool had_lease; /* had one at the last tick */
 	int64_t no_lease_since_ms; /* 0 while there is one */
-	struct witness_set
-		unresponsive_witnesses; /* witnesses that did not answer us */
-	/* Witnesses that promised not to vouch for us again. */
+	/* Witnesses that did not answer vouch requests. */
+	struct witness_set unresponsive_witnesses;
+	/* Witnesses that promised not to vouch for this node again. */
 	struct witness_set denied_witnesses;
 	int64_t last_tick_at_ms;
 	/* Start of the last read that reached the log's end. */
@@ -260,7 +265,8 @@
 	int64_t next_release_request_at_ms;
 	int64_t next_resign_at_ms;
 	int64_t next_unsettled_note_at_ms;
-	GArray *ids_acked_by; /* int64_t successors that have our ids */
+	/* int64_t successors that have the ids sent to them. */
+	GArray *ids_acked_by;
 	/*
 	 * int64_t ids of earlier members of this host whose removal this
 	 * process has seen
@@ -273,7 +279,8 @@
 	int64_t unbalanced_since_ms;
 	int64_t snapshot_seen_at_ms;
 	int64_t service_last_join_at_ms;
-	int64_t unowned_since_ms; /* our service has unowned shards; 0: not */
+	/* Since when the service has unowned shards; 0: it has none. */
+	int64_t unowned_since_ms;
 	int64_t published_source; /* -1: operators published nothing */
 	/*
 	 * When the wait of this node before it proposes changes that operators
@@ -305,18 +312,18 @@
 	GArray *witnessed; /* struct witnessed_member */
 	GArray *stop_promises; /* struct stop_promise */
 	GArray *stopped_members; /* int64_t ids */
-	struct hold *holds; /* by shard of our service */
+	struct hold *holds; /* by shard of this node's service */
 	uint32_t n_holds;
 	GQueue *cache; /* struct cached_record, newest last */
 	uint32_t cache_bytes;
 	int64_t next_fetch_at_ms;
 	bool log_read_due; /* records lacking here are to be read from the log */
-	/* when the next four fields are updated */
+	/* When the next four fields are updated. */
 	int64_t next_relay_update_at_ms;
 	bool is_log_reader; /* reads the log and sends new records to relays */
 	bool is_relay; /* sends records from log readers to followers */
 	GArray *relays; /* int64_t members that a log reader sends records to */
-	GArray *followers; /* int64_t members that we send records to */
+	GArray *followers; /* int64_t members that this node sends records to */
 	/* When a message last came from a member that follows the log. */
 	int64_t last_relay_at_ms;
 	int64_t next_relay_keepalive_at_ms; /* to relays, if nothing else is
--- a/route/plan.h
+++ b/route/plan.h
@@ -51,7 +51,10 @@
 	 * and that no complete answer will follow.
 	 */
 	ATTEMPT_EVENT_ANSWER_LOST,
-	/* The same, as the server had not finished at the request's deadline. */
+	/*
+	 * The gate reports that the request was handed to the backend server,
+	 * which had not finished it at the request's deadline.
+	 */
 	ATTEMPT_EVENT_SERVER_LATE,
 	/*
 	 * The gate does not know whether an earlier request with this id has
--- a/state/fleet.c
+++ b/state/fleet.c
@@ -672,7 +672,7 @@
 	f->partial_version = version;
 	/*
 	 * Invalid changes count as read; otherwise members would write them
-	 * again for ever.
+	 * again without end.
 	 */
 	if (err || json_is_true(json_object_get(r, "whole")))
 		f->source_offset = source;
--- a/state/fleet.h
+++ b/state/fleet.h
@@ -25,7 +25,10 @@
 #define FLEET_RECENT_APPENDS 256
 /* Reason for removing a member: its host runs a newer incarnation. */
 #define FLEET_REASON_RESTARTED "restarted"
-/* The same, and its backend server restarted too, losing the shards it held. */
+/*
+ * Reason for removing a member: its host runs a newer incarnation, and its
+ * backend server restarted too and so lost the shards that it held.
+ */
 #define FLEET_REASON_SERVER_RESTARTED "restarted with its backend server"
 /*
  * Reason for moving a shard to the newer incarnation of its owner's host, which
@@ -56,9 +59,9 @@
 	/*
 	 * Id of the first membership of the same process. Witness sets name
 	 * processes, as a process that joins again keeps the promises it gave
-	 * as a witness. If they named members, a node that joins again would
-	 * cost its neighbours a witness, they would join again in turn, and so
-	 * on.
+	 * as a witness. If they named members, every member that has a
+	 * rejoining node as a witness would lose that witness and might have to
+	 * join again too, and so on through the fleet.
 	 */
 	int64_t process;
 	char host[HOST_MAX_LEN + 1];
@@ -98,7 +101,10 @@
 	 */
 	int64_t prev_owner;
 	int64_t prev_successor;
-	/* The same for the move before that one, if it was not settled yet. */
+	/*
+	 * Owner and successor before the move preceding the last one, if that
+	 * move was not settled yet.
+	 */
 	int64_t older_owner;
 	int64_t older_successor;
 };
--- a/state/rejoin.c
+++ b/state/rejoin.c
@@ -36,8 +36,8 @@
  * and the keys would move back later.
  *
  * If node process and backend server are both new, the whole host was off, most
- * likely with many others. It keeps key ranges, as moving them would pile the
- * keys of all those hosts on the first ones that come back.
+ * likely with many others. It keeps key ranges, as moving them would give the
+ * keys of all those hosts to the few that start first.
  *
  * If only the backend server restarted, the shards move to their successors:
  * the restarted server is cold, and the successors' servers are warm.
