--- a/member/member.c
+++ b/member/member.c
@@ -105,7 +105,7 @@
 	n->ops->append(n->ops_user, kind, r);
 }
 
-/* Log a change of state. */
+/* Report a change of state for the log output. */
 void member_note(struct member_node *n, const char *what, int64_t subject)
 {
 	n->ops->note(n->ops_user, what, subject);
@@ -115,7 +115,7 @@
  * End this node's membership: it serves no shard and has no lease. Promises
  * that the process made as a witness remain.
  */
-void member_leave_incarnation(struct member_node *n)
+void member_end_incarnation(struct member_node *n)
 {
 	holds_reset(n);
 	g_array_set_size(n->own_witnesses, 0);
@@ -123,7 +123,7 @@
 	n->self_id = 0;
 	n->had_lease = false;
 	n->no_lease_since_ms = 0;
-	n->hand_over_since_ms = 0;
+	n->ids_sent_since_ms = 0;
 	g_array_set_size(n->ids_acked_by, 0);
 	n->denied_witnesses.n = 0;
 	n->ever_leased = false;
@@ -132,11 +132,11 @@
 static void on_member_joined(struct member_node *n, const struct member *m)
 {
 	if (!strcmp(m->service, n->join_info.service))
-		n->last_join_ms = n->now_ms;
+		n->service_last_join_at_ms = n->now_ms;
 	if (strcmp(m->nonce, n->join_info.nonce) ||
 	    strcmp(m->host, n->join_info.host))
 		return;
-	member_leave_incarnation(n);
+	member_end_incarnation(n);
 	n->self_id = m->id;
 	n->process = m->process;
 	n->join_info.process = m->process;
@@ -159,9 +159,9 @@
 		g_array_append_val(n->earlier_incarnations, m->id);
 	if (m->id == n->self_id) {
 		member_note(n, "expelled", n->self_id);
-		member_leave_incarnation(n);
+		member_end_incarnation(n);
 	}
-	takeover_remove_member(n, m->id);
+	takeover_on_member_removed(n, m->id);
 }
 
 static void on_event(void *user, const struct fleet_event *ev)
@@ -193,11 +193,11 @@
  * Bring the node in line with a state that was loaded from a snapshot, which
  * gives no event for each change.
  */
-void member_state_replaced(struct member_node *n)
+void member_on_state_replaced(struct member_node *n)
 {
 	COUNT(snapshots_loaded);
 	if (n->self_id && !fleet_member(&n->fleet, n->self_id))
-		member_leave_incarnation(n);
+		member_end_incarnation(n);
 	n->no_acquire_until_ms = n->now_ms + member_lease_wait_ms(n);
 	g_queue_free_full(n->cache, cached_record_free);
 	n->cache = g_queue_new();
@@ -228,9 +228,13 @@
 	 * can be proposed at once.
 	 */
 	if (n->fleet.configuration_version != version) {
-		n->next_append_ms[APPEND_PUBLISHED] = n->now_ms;
-		/* The writer of this one continues; the others wait again. */
-		n->published_since_ms = n->now_ms;
+		n->next_append_at_ms[APPEND_PUBLISHED] = n->now_ms;
+		/*
+		 * Restart the wait: the first member by rank, which usually
+		 * wrote this record, appends the next one at once, and the
+		 * others wait again.
+		 */
+		n->published_wait_since_ms = n->now_ms;
 	}
 	sync_cache_record(n, offset, append_id, record);
 	if (n->fleet.snapshot_offset != snapshot)
@@ -249,7 +253,7 @@
 	if (err)
 		return err;
 	n->fleet.snapshot_upto = n->fleet.applied;
-	member_state_replaced(n);
+	member_on_state_replaced(n);
 	return RESULT_OK;
 }
 
@@ -264,11 +268,11 @@
 	/*
 	 * The wait before this node proposes counts from the first change that
 	 * is not in force. Counted from the last one, changes in quick
-	 * succession would delay the nodes that are next in turn again and
-	 * again, while the first in turn may be down.
+	 * succession would delay the nodes of the next ranks again and again,
+	 * while the node of the first rank may be down.
 	 */
 	if (!pending)
-		n->published_since_ms = n->now_ms;
+		n->published_wait_since_ms = n->now_ms;
 }
 
 void member_set_server_instance(struct member_node *n, const char *instance)
@@ -347,7 +351,7 @@
 	check_published_in_force(n);
 }
 
-/* Tell one witness that this node has stopped. */
+/* Report to one witness that this node has stopped serving. */
 static void send_resign(struct member_node *n, int64_t process)
 {
 	const struct member *to = fleet_member_by_process(&n->fleet, process);
@@ -361,8 +365,9 @@
 }
 
 /*
- * Once a resigning node is idle: give the request ids to its successors, then
- * tell its witnesses. Both are repeated while the node is a member.
+ * Once a resigning node is idle, send the request ids to its successors. Once
+ * they have acknowledged them, or the wait for that has timed out, send the
+ * resignation to its witnesses. Both are repeated while the node is a member.
  */
 static void resign_tick(struct member_node *n)
 {
@@ -373,8 +378,8 @@
 	    n->now_ms < n->next_resign_at_ms)
 		return;
 	n->next_resign_at_ms = n->now_ms + RESIGN_INTERVAL_MS;
-	holds_hand_over(n);
-	if (!holds_hand_over_is_done(n))
+	holds_send_ids(n);
+	if (!holds_send_ids_is_done(n))
 		return;
 	for (i = 0; i < m->witnesses.n; i++)
 		send_resign(n, m->witnesses.id[i]);
@@ -388,7 +393,7 @@
 
 	/*
 	 * A process that was paused has received no requests meanwhile, and
-	 * would promise that members have stopped which still run. Waiting
+	 * would promise not to vouch again for members that still run. Waiting
 	 * longer is safe.
 	 */
 	for (i = 0; i < n->witnessed->len; i++)
@@ -469,15 +474,15 @@
 	n->now_ms = MAX(n->now_ms, now_ms);
 	n->want_member = wanted;
 	/*
-	 * Witnesses that were told of a resignation make their promise at once,
-	 * without waiting for the lease to end. If this node cancelled its
-	 * resignation, it could serve at the same time as its successors, so it
-	 * ends this membership and joins again.
+	 * Witnesses that have received a resignation make their promise at
+	 * once, without waiting for the lease to end. If this node cancelled
+	 * its resignation, it could serve at the same time as its successors,
+	 * so it ends this membership and joins again.
 	 */
 	if (wanted && n->resigning)
-		member_leave_incarnation(n);
+		member_end_incarnation(n);
 	n->resigning = !wanted && n->self_id;
-	n->next_join_ms = n->now_ms;
+	n->next_join_at_ms = n->now_ms;
 }
 
 bool member_is_witness(const struct member_node *n)
--- a/node/entry-answer.c
+++ b/node/entry-answer.c
@@ -245,7 +245,8 @@
 	add_answer_bytes(r, m);
 	if ((m->flags & REQ_FLAG_END) && !answer_is_complete(r, m)) {
 		COUNT(answers_cut);
-		entry_end_attempt(r, a, ATTEMPT_EVENT_MIXED, RESULT_MIXED);
+		entry_end_attempt(r, a, ATTEMPT_EVENT_INVALID_ANSWER,
+				  RESULT_MIXED);
 		return;
 	}
 	plan_attempt_event(&r->plan, a->number, ATTEMPT_EVENT_ANSWERED);
--- a/node/entry.c
+++ b/node/entry.c
@@ -168,8 +168,8 @@
 		return ATTEMPT_EVENT_IN_DOUBT;
 	if (m->number == RESULT_TIMEOUT)
 		return ATTEMPT_EVENT_SERVER_LATE;
-	return m->number == RESULT_MIXED ? ATTEMPT_EVENT_MIXED
-					 : ATTEMPT_EVENT_CUT;
+	return m->number == RESULT_MIXED ? ATTEMPT_EVENT_INVALID_ANSWER
+					 : ATTEMPT_EVENT_ANSWER_LOST;
 }
 
 /*
@@ -432,7 +432,7 @@
 			struct attempt *a = r->attempts[j];
 
 			if (awaits_answer_from(r, j, member))
-				cancel_attempt(r, a, ATTEMPT_EVENT_SUPERSEDED,
+				cancel_attempt(r, a, ATTEMPT_EVENT_PROCESS_ENDED,
 					       RESULT_UNREACHABLE, true);
 			else if (a && a->member == member)
 				entry_end_answer(r, a, false);
--- a/state/rejoin.c
+++ b/state/rejoin.c
@@ -36,8 +36,8 @@
  * and the keys would move back later.
  *
  * If node process and backend server are both new, the whole host was off, most
- * likely with many others. It keeps key ranges, as moving them would pile the
- * keys of all those hosts on the first ones that come back.
+ * likely with many others. It keeps key ranges, as moving them would give the
+ * keys of all those hosts to the few that start first.
  *
  * If only the backend server restarted, the shards move to their successors:
  * the restarted server is cold, and the successors' servers are warm.
@@ -82,8 +82,8 @@
 
 /*
  * Where the earlier incarnation was named as a successor, name the new one
- * instead. The new one can tell other nodes what its backend server holds, as
- * the server reports that in its heartbeats. Otherwise a member that takes
+ * instead. The new one can report to other nodes what its backend server holds,
+ * as the server reports that in its heartbeats. Otherwise a member that takes
  * over such a shard must wait as long as the earlier incarnation might still
  * have been granting it, which is a lease duration for each restart. With all
  * processes killed at once these waits added up to seven seconds without an
