--- a/net/fetch.c
+++ b/net/fetch.c
@@ -17,7 +17,7 @@
 #define KEEPALIVE_IDLE_S 2
 #define KEEPALIVE_INTERVAL_S 1
 #define KEEPALIVE_PROBES 2
-#define UNACKNOWLEDGED_MS 3000
+#define USER_TIMEOUT_MS 3000
 #define MAX_HEADERS 128
 
 struct fetch_socket {
@@ -31,7 +31,7 @@
  * handle would write the answer's bytes to standard output, and then crash. So
  * a request cancelled there is only silenced, and let go once libcurl is done.
  */
-static void orphan(struct fetch *f)
+static void defer_cleanup(struct fetch *f)
 {
 	struct fetcher *x = f->fetcher;
 
@@ -42,43 +42,44 @@
 	curl_easy_setopt(f->easy, CURLOPT_PREREQDATA, NULL);
 	curl_easy_setopt(f->easy, CURLOPT_SOCKOPTDATA, NULL);
 	curl_easy_pause(f->easy, CURLPAUSE_ALL);
-	g_ptr_array_add(x->orphans, f->easy);
+	g_ptr_array_add(x->cancelled_handles, f->easy);
 	/* Its headers stay with the handle, a few hundred bytes, until then. */
 	curl_easy_setopt(f->easy, CURLOPT_HTTPHEADER, NULL);
 	curl_slist_free_all(f->headers);
 	f->headers = NULL;
 	f->easy = NULL;
-	x->n_running--;
-	ev_prepare_start(x->loop, &x->bury);
+	x->n_in_flight--;
+	ev_prepare_start(x->loop, &x->cleanup);
 }
 
-static void finish_one(struct fetch *f)
+static void release_handle(struct fetch *f)
 {
 	struct fetcher *x = f->fetcher;
 
 	/* One that libcurl still holds must not be reset, nor used again. */
-	if (x->depth || curl_multi_remove_handle(x->multi, f->easy)) {
-		orphan(f);
+	if (x->callback_depth || curl_multi_remove_handle(x->multi, f->easy)) {
+		defer_cleanup(f);
 		return;
 	}
 	curl_slist_free_all(f->headers);
 	f->headers = NULL;
 	curl_easy_reset(f->easy);
-	if (x->idle->len < MAX_IDLE_HANDLES)
-		g_ptr_array_add(x->idle, f->easy);
+	if (x->idle_handles->len < MAX_IDLE_HANDLES)
+		g_ptr_array_add(x->idle_handles, f->easy);
 	else
 		curl_easy_cleanup(f->easy);
 	f->easy = NULL;
-	x->n_running--;
+	x->n_in_flight--;
 }
 
-static void on_bury(struct ev_loop *loop, ev_prepare *w, int events)
+static void on_cleanup(struct ev_loop *loop, ev_prepare *w, int events)
 {
 	struct fetcher *x = w->data;
 
 	(void)events;
-	while (x->orphans->len) {
-		CURL *easy = g_ptr_array_remove_index_fast(x->orphans, 0);
+	while (x->cancelled_handles->len) {
+		CURL *easy =
+			g_ptr_array_remove_index_fast(x->cancelled_handles, 0);
 
 		curl_multi_remove_handle(x->multi, easy);
 		curl_easy_cleanup(easy);
@@ -86,9 +87,9 @@
 	ev_prepare_stop(loop, w);
 }
 
-static int result_of(const struct fetch *f, CURLcode code)
+static int to_result(const struct fetch *f, CURLcode code)
 {
-	if (f->mixed)
+	if (f->head_rejected)
 		return RESULT_MIXED;
 	switch (code) {
 	case CURLE_OK:
@@ -103,7 +104,7 @@
 	}
 }
 
-static void head_is_done(struct fetch *f)
+static void report_head(struct fetch *f)
 {
 	if (f->head_done)
 		return;
@@ -113,7 +114,7 @@
 		f->ops->on_head(f);
 }
 
-static bool was_refused(const CURLMsg *msg)
+static bool connection_was_refused(const CURLMsg *msg)
 {
 	long err = 0;
 
@@ -123,7 +124,7 @@
 	return err == ECONNREFUSED;
 }
 
-static void reap(struct fetcher *x)
+static void finish_completed(struct fetcher *x)
 {
 	CURLMsg *msg;
 	int left;
@@ -139,13 +140,13 @@
 				  (char **)&f);
 		if (!f)
 			continue;
-		result = result_of(f, msg->data.result);
-		f->refused = was_refused(msg);
+		result = to_result(f, msg->data.result);
+		f->connection_refused = connection_was_refused(msg);
 		/* An answer without a body has a head all the same. */
 		if (!result)
-			head_is_done(f);
+			report_head(f);
 		headers = f->answer_headers;
-		finish_one(f);
+		release_handle(f);
 		f->ops->on_done(f, result);
 		g_ptr_array_unref(headers);
 	}
@@ -160,7 +161,7 @@
 	(void)events;
 	ev_timer_stop(x->loop, w);
 	curl_multi_socket_action(x->multi, CURL_SOCKET_TIMEOUT, 0, &running);
-	reap(x);
+	finish_completed(x);
 }
 
 static void on_socket(struct ev_loop *loop, ev_io *w, int events)
@@ -176,7 +177,7 @@
 	if (events & EV_WRITE)
 		what |= CURL_CSELECT_OUT;
 	curl_multi_socket_action(x->multi, w->fd, what, &running);
-	reap(x);
+	finish_completed(x);
 }
 
 static int set_timer(CURLM *multi, long ms, void *user)
@@ -232,14 +233,14 @@
 	memset(x, 0, sizeof(*x));
 	x->loop = loop;
 	x->multi = curl_multi_init();
-	x->idle = g_ptr_array_new();
+	x->idle_handles = g_ptr_array_new();
 	x->max_idle_s = DEFAULT_MAX_IDLE_S;
 	x->sockets = g_ptr_array_new_with_free_func(g_free);
 	ev_init(&x->timer, on_timer);
 	x->timer.data = x;
-	x->orphans = g_ptr_array_new();
-	ev_prepare_init(&x->bury, on_bury);
-	x->bury.data = x;
+	x->cancelled_handles = g_ptr_array_new();
+	ev_prepare_init(&x->cleanup, on_cleanup);
+	x->cleanup.data = x;
 	curl_multi_setopt(x->multi, CURLMOPT_SOCKETFUNCTION, set_socket);
 	curl_multi_setopt(x->multi, CURLMOPT_SOCKETDATA, x);
 	curl_multi_setopt(x->multi, CURLMOPT_TIMERFUNCTION, set_timer);
@@ -256,10 +257,10 @@
 	uint32_t i;
 
 	ev_timer_stop(x->loop, &x->timer);
-	on_bury(x->loop, &x->bury, 0);
-	g_ptr_array_unref(x->orphans);
-	for (i = 0; i < x->idle->len; i++)
-		curl_easy_cleanup(g_ptr_array_index(x->idle, i));
+	on_cleanup(x->loop, &x->cleanup, 0);
+	g_ptr_array_unref(x->cancelled_handles);
+	for (i = 0; i < x->idle_handles->len; i++)
+		curl_easy_cleanup(g_ptr_array_index(x->idle_handles, i));
 	curl_multi_cleanup(x->multi);
 	for (i = 0; i < x->sockets->len; i++) {
 		struct fetch_socket *s = g_ptr_array_index(x->sockets, i);
@@ -267,7 +268,7 @@
 		ev_io_stop(x->loop, &s->io);
 	}
 	g_ptr_array_unref(x->sockets);
-	g_ptr_array_unref(x->idle);
+	g_ptr_array_unref(x->idle_handles);
 }
 
 /*
@@ -275,8 +276,8 @@
  * be dead, and the server may have run it the first time. It asks here before
  * each sending, so that the second one is stopped and the outcome is unknown.
  */
-static int before_sending(void *user, char *to, char *from, int to_port,
-			  int from_port)
+static int on_prereq(void *user, char *to, char *from, int to_port,
+		     int from_port)
 {
 	struct fetch *f = user;
 
@@ -289,7 +290,7 @@
 	if (f->send_by_ms && clock_now_ms() > f->send_by_ms)
 		return CURL_PREREQFUNC_ABORT;
 	f->sent = true;
-	f->sent_us = clock_now_us();
+	f->sent_at_us = clock_now_us();
 	return CURL_PREREQFUNC_OK;
 }
 
@@ -298,18 +299,18 @@
  * lost track of it. Nothing comes back then, not even a reset; unanswered
  * probes make the kernel report it.
  */
-static int set_keepalive(void *user, curl_socket_t fd, curlsocktype purpose)
+static int configure_socket(void *user, curl_socket_t fd, curlsocktype purpose)
 {
 	struct fetch *f = user;
 	int on = 1;
 	int idle_s = KEEPALIVE_IDLE_S;
 	int interval_s = KEEPALIVE_INTERVAL_S;
 	int probes = KEEPALIVE_PROBES;
-	unsigned int unacknowledged_ms = UNACKNOWLEDGED_MS;
+	unsigned int user_timeout_ms = USER_TIMEOUT_MS;
 
 	(void)purpose;
-	if (f && f->open_by_ms && clock_now_ms() > f->open_by_ms) {
-		f->unopened = true;
+	if (f && f->connect_by_ms && clock_now_ms() > f->connect_by_ms) {
+		f->connect_expired = true;
 		return CURL_SOCKOPT_ERROR;
 	}
 	setsockopt(fd, SOL_SOCKET, SO_KEEPALIVE, &on, sizeof(on));
@@ -317,17 +318,17 @@
 	setsockopt(fd, IPPROTO_TCP, TCP_KEEPINTVL, &interval_s,
 		   sizeof(interval_s));
 	setsockopt(fd, IPPROTO_TCP, TCP_KEEPCNT, &probes, sizeof(probes));
-	setsockopt(fd, IPPROTO_TCP, TCP_USER_TIMEOUT, &unacknowledged_ms,
-		   sizeof(unacknowledged_ms));
+	setsockopt(fd, IPPROTO_TCP, TCP_USER_TIMEOUT, &user_timeout_ms,
+		   sizeof(user_timeout_ms));
 	return CURL_SOCKOPT_OK;
 }
 
-static bool end_of_headers(struct fetch *f)
+static bool on_headers_end(struct fetch *f)
 {
 	curl_easy_getinfo(f->easy, CURLINFO_RESPONSE_CODE, &f->status);
 	if (f->status < 200 || !f->ops->check_head || f->ops->check_head(f))
 		return true;
-	f->mixed = true;
+	f->head_rejected = true;
 	return false;
 }
 
@@ -343,7 +344,7 @@
 	if (len >= 5 && !memcmp(line, "HTTP/", 5))
 		g_ptr_array_set_size(f->answer_headers, 0);
 	if (len == 2 && !memcmp(line, "\r\n", 2))
-		return end_of_headers(f) ? len : 0;
+		return on_headers_end(f) ? len : 0;
 	if (!colon || f->answer_headers->len >= 2 * MAX_HEADERS)
 		return len;
 	g_ptr_array_add(f->answer_headers, g_strndup(line, colon - line));
@@ -357,17 +358,17 @@
 {
 	struct fetch *f = user;
 	struct fetcher *x;
-	bool go_on = true;
+	bool accepted = true;
 
 	if (!f)
 		return 0;
 	x = f->fetcher;
-	x->depth++;
-	head_is_done(f);
+	x->callback_depth++;
+	report_head(f);
 	if (f->ops->on_data)
-		go_on = f->ops->on_data(f, data, size * n);
-	x->depth--;
-	return go_on ? size * n : CURL_WRITEFUNC_PAUSE;
+		accepted = f->ops->on_data(f, data, size * n);
+	x->callback_depth--;
+	return accepted ? size * n : CURL_WRITEFUNC_PAUSE;
 }
 
 static void set_body(CURL *easy, const char *method, const void *body,
@@ -433,9 +434,10 @@
 	f->ops = ops;
 	f->user = user;
 	f->answer_headers = g_ptr_array_new_with_free_func(g_free);
-	f->easy = x->idle->len ? g_ptr_array_remove_index_fast(x->idle,
-							       x->idle->len - 1)
-			       : curl_easy_init();
+	f->easy = x->idle_handles->len
+			  ? g_ptr_array_remove_index_fast(
+				    x->idle_handles, x->idle_handles->len - 1)
+			  : curl_easy_init();
 	curl_easy_setopt(f->easy, CURLOPT_URL, url);
 	curl_easy_setopt(f->easy, CURLOPT_PATH_AS_IS, 1L);
 	curl_easy_setopt(f->easy, CURLOPT_PROXY, "");
@@ -451,26 +453,27 @@
 	curl_easy_setopt(f->easy, CURLOPT_TIMEOUT_MS, (long)timeout_ms);
 	curl_easy_setopt(f->easy, CURLOPT_CONNECTTIMEOUT_MS,
 			 (long)MIN(timeout_ms, CONNECT_TIMEOUT_MS));
-	curl_easy_setopt(f->easy, CURLOPT_PREREQFUNCTION, before_sending);
+	curl_easy_setopt(f->easy, CURLOPT_PREREQFUNCTION, on_prereq);
 	curl_easy_setopt(f->easy, CURLOPT_PREREQDATA, f);
-	curl_easy_setopt(f->easy, CURLOPT_SOCKOPTFUNCTION, set_keepalive);
+	curl_easy_setopt(f->easy, CURLOPT_SOCKOPTFUNCTION, configure_socket);
 	curl_easy_setopt(f->easy, CURLOPT_SOCKOPTDATA, f);
 	curl_easy_setopt(f->easy, CURLOPT_MAXAGE_CONN, (long)x->max_idle_s);
 	if (fresh)
 		curl_easy_setopt(f->easy, CURLOPT_FRESH_CONNECT, 1L);
 	set_body(f->easy, method, body, len);
 	set_headers(f, headers);
-	x->n_running++;
+	x->n_in_flight++;
 	curl_multi_add_handle(x->multi, f->easy);
 }
 
-void fetch_bound(struct fetch *f, int64_t send_by_ms, int64_t open_by_ms)
+void fetch_set_deadlines(struct fetch *f, int64_t send_by_ms,
+			 int64_t connect_by_ms)
 {
 	f->send_by_ms = send_by_ms;
-	f->open_by_ms = open_by_ms;
+	f->connect_by_ms = connect_by_ms;
 }
 
-void fetch_bound_idle(struct fetch *f, int64_t idle_ms)
+void fetch_set_idle_timeout(struct fetch *f, int64_t idle_ms)
 {
 	curl_easy_setopt(f->easy, CURLOPT_LOW_SPEED_LIMIT, 1L);
 	curl_easy_setopt(f->easy, CURLOPT_LOW_SPEED_TIME,
@@ -483,7 +486,7 @@
 
 	if (!f->easy)
 		return;
-	finish_one(f);
+	release_handle(f);
 	g_ptr_array_unref(headers);
 }
 
--- a/net/fetch.h
+++ b/net/fetch.h
@@ -16,13 +16,13 @@
 	struct ev_loop *loop;
 	CURLM *multi;
 	ev_timer timer;
-	GPtrArray *idle; /* CURL * handles kept for use again */
+	GPtrArray *idle_handles; /* CURL * handles kept for use again */
 	GPtrArray *sockets; /* struct fetch_socket */
-	uint32_t depth; /* callbacks of libcurl that we are in */
-	GPtrArray *orphans; /* CURL * cancelled within a callback */
-	ev_prepare bury; /* runs while there are any */
+	uint32_t callback_depth; /* callbacks of libcurl that we are in */
+	GPtrArray *cancelled_handles; /* CURL * cancelled within a callback */
+	ev_prepare cleanup; /* runs while there are any */
 	int64_t max_idle_s; /* a connection idle for longer is not reused */
-	uint32_t n_running;
+	uint32_t n_in_flight;
 };
 
 struct fetch;
@@ -52,12 +52,12 @@
 	long status;
 	bool head_done;
 	bool sent; /* some byte of the request may have left */
-	int64_t sent_us; /* when it had a connection */
+	int64_t sent_at_us; /* when it had a connection */
 	int64_t send_by_ms; /* not to be sent later, 0 at any time */
-	int64_t open_by_ms; /* no connection to be opened later, 0 any time */
-	bool unopened; /* failed for the latter */
-	bool refused; /* nobody listens at the address */
-	bool mixed; /* check_head refused the answer */
+	int64_t connect_by_ms; /* no connection to be opened later, 0 any time */
+	bool connect_expired; /* failed for the latter */
+	bool connection_refused; /* nobody listens at the address */
+	bool head_rejected; /* check_head refused the answer */
 	GPtrArray *answer_headers; /* name and value in turn */
 	char error[CURL_ERROR_SIZE];
 };
@@ -77,16 +77,17 @@
 
 /*
  * Bound a request just started, by our clock: later than send_by_ms it is not
- * sent, and later than open_by_ms no connection is opened for it. It fails with
- * sent false then.
+ * sent, and later than connect_by_ms no connection is opened for it. It fails
+ * with sent false then.
  */
-void fetch_bound(struct fetch *f, int64_t send_by_ms, int64_t open_by_ms);
+void fetch_set_deadlines(struct fetch *f, int64_t send_by_ms,
+			 int64_t connect_by_ms);
 
 /*
  * End a request just started with RESULT_TIMEOUT when nothing arrives for
  * idle_ms, by whole seconds, whatever its time limit.
  */
-void fetch_bound_idle(struct fetch *f, int64_t idle_ms);
+void fetch_set_idle_timeout(struct fetch *f, int64_t idle_ms);
 
 /* Drop a request; on_done is not called. Its connection closes. */
 void fetch_cancel(struct fetch *f);
--- a/net/headers.c
+++ b/net/headers.c
@@ -19,7 +19,7 @@
 	return false;
 }
 
-const struct header_names headers_own = {
+const struct header_names headers_default = {
 	.idempotency = "Idempotency-Key",
 	.deadline_ms = "Briargrade-Deadline-Ms",
 	.fence = "Briargrade-Fence",
--- a/net/headers.h
+++ b/net/headers.h
@@ -26,7 +26,8 @@
 	const char *shard;
 	const char *grant_ms;
 	const char *caller_service; /* of the host where the request began */
-	const char *expect_life; /* the backend server's life that is meant */
+	const char
+		*expect_instance; /* the backend server's life that is meant */
 	/* From backend servers. */
 	const char *not_run; /* present: the request did not run */
 	const char *signature; /* present on each whole success */
@@ -34,11 +35,12 @@
 	/* To callers. */
 	const char *outcome;
 	const char *replayed;
-	bool fractional_retry; /* Retry-After may be a fraction of a second */
+	bool fractional_retry_after; /* Retry-After may be a fraction of a
+					second */
 };
 
 /* What this project speaks by itself. */
-extern const struct header_names headers_own;
+extern const struct header_names headers_default;
 
 /* Whether a header concerns one connection only (RFC 9110, 7.6.1). */
 bool header_is_hop_by_hop(const char *name);
--- a/net/httpd.c
+++ b/net/httpd.c
@@ -8,7 +8,7 @@
 #include <unistd.h>
 
 #include "net/address.h"
-#include "net/ahead.h"
+#include "net/pipeline.h"
 #include "net/clock.h"
 #include "net/headers.h"
 #include "net/httpd.h"
@@ -19,15 +19,15 @@
 #define IDLE_TIMEOUT_S 120
 #define STREAM_BLOCK_BYTES (64 * 1024)
 /* What libmicrohttpd takes for a connection: for the head of a request, */
-#define POOL_BYTES (32 * 1024)
+#define MIN_POOL_BYTES (32 * 1024)
 /* as much again by its share for what it notes of each line of it, */
-#define HEAD_SHARE 4
+#define HEADER_INDEX_DIVISOR 4
 /* and for the head of the answer. */
-#define ANSWER_BYTES (8 * 1024)
+#define ANSWER_HEAD_BYTES (8 * 1024)
 #define MAX_HEAD_BYTES (4 * 1024 * 1024)
 #define DRAIN_IDLE_S 1u
 /* A tenth of the shortest target in use is lost on a request sent ahead. */
-#define LOOK_EVERY_S 0.01
+#define PIPELINE_POLL_S 0.01
 
 /* Those before the one that listens end with their last connection. */
 static void stop_unused(struct httpd *h)
@@ -42,26 +42,26 @@
 	}
 }
 
-static void run(struct httpd *h)
+static void run_daemons(struct httpd *h)
 {
 	MHD_UNSIGNED_LONG_LONG ms;
-	MHD_UNSIGNED_LONG_LONG least_ms = UINT64_MAX;
+	MHD_UNSIGNED_LONG_LONG timeout_ms = UINT64_MAX;
 	uint32_t i;
 
-	h->dirty = false;
+	h->needs_run = false;
 	for (i = 0; i < h->daemons->len; i++) {
 		struct httpd_daemon *d = g_ptr_array_index(h->daemons, i);
 
 		MHD_run(d->mhd);
 		if (MHD_get_timeout(d->mhd, &ms) == MHD_YES)
-			least_ms = MIN(least_ms, ms);
+			timeout_ms = MIN(timeout_ms, ms);
 	}
 	stop_unused(h);
-	if (least_ms == UINT64_MAX) {
+	if (timeout_ms == UINT64_MAX) {
 		ev_timer_stop(h->loop, &h->timer);
 		return;
 	}
-	h->timer.repeat = MAX(least_ms, 1) / 1000.0;
+	h->timer.repeat = MAX(timeout_ms, 1) / 1000.0;
 	ev_timer_again(h->loop, &h->timer);
 }
 
@@ -69,14 +69,14 @@
 {
 	(void)loop;
 	(void)events;
-	run(w->data);
+	run_daemons(w->data);
 }
 
 static void on_timer(struct ev_loop *loop, ev_timer *w, int events)
 {
 	(void)loop;
 	(void)events;
-	run(w->data);
+	run_daemons(w->data);
 }
 
 static void on_prepare(struct ev_loop *loop, ev_prepare *w, int events)
@@ -86,23 +86,23 @@
 	(void)loop;
 	(void)events;
 	/* A resumed connection waits for MHD_run(), not for its socket. */
-	while (h->dirty)
-		run(h);
+	while (h->needs_run)
+		run_daemons(h);
 }
 
 static void resume(struct httpd_request *r)
 {
-	ev_io_stop(r->httpd->loop, &r->watch);
+	ev_io_stop(r->httpd->loop, &r->caller_watch);
 	if (!r->suspended)
 		return;
-	if (r->from && r->from->current == r)
-		r->from->current = NULL;
+	if (r->conn && r->conn->current == r)
+		r->conn->current = NULL;
 	r->suspended = false;
-	r->httpd->dirty = true;
-	MHD_resume_connection(r->connection);
+	r->httpd->needs_run = true;
+	MHD_resume_connection(r->mhd_connection);
 }
 
-static bool has_left(const struct httpd_connection *c)
+static bool caller_has_left(const struct httpd_connection *c)
 {
 	struct pollfd p = { .fd = c->fd, .events = POLLRDHUP };
 
@@ -113,14 +113,14 @@
  * End a request without a word: its caller may still read, and whatever we said
  * of one that goes on elsewhere could be wrong.
  */
-static void cut(struct httpd_request *r)
+static void drop_request(struct httpd_request *r)
 {
 	if (r->streaming) {
-		httpd_end(r, false);
+		httpd_stream_end(r, false);
 		return;
 	}
 	r->answered = true;
-	r->cut = true;
+	r->drop_unanswered = true;
 	resume(r);
 }
 
@@ -129,17 +129,17 @@
  * turn it is: one after the other, each would take a round of the loop, and
  * those that libmicrohttpd has read already would be begun for nobody.
  */
-static void caller_left(struct httpd_request *r)
+static void on_caller_left(struct httpd_request *r)
 {
 	struct httpd *h = r->httpd;
 
-	ev_timer_stop(h->loop, &r->from->look);
-	r->from->left = true;
-	if (h->ops->on_gone) {
-		h->ops->on_gone(h->user, r);
-		ahead_left(r->from);
+	ev_timer_stop(h->loop, &r->conn->poll_timer);
+	r->conn->caller_left = true;
+	if (h->ops->on_caller_left) {
+		h->ops->on_caller_left(h->user, r);
+		pipeline_caller_left(r->conn);
 	}
-	cut(r);
+	drop_request(r);
 }
 
 /*
@@ -148,7 +148,7 @@
  * for nobody. Bytes that wait to be read are a next request, no leaving; while
  * they wait the socket is always readable, so a timer looks for more.
  */
-static void on_watch(struct ev_loop *loop, ev_io *w, int events)
+static void on_socket_readable(struct ev_loop *loop, ev_io *w, int events)
 {
 	struct httpd_request *r = w->data;
 	char byte;
@@ -159,39 +159,39 @@
 		return;
 	ev_io_stop(loop, w);
 	if (n <= 0) {
-		caller_left(r);
+		on_caller_left(r);
 		return;
 	}
-	if (!r->from->current)
+	if (!r->conn->current)
 		return;
-	ev_timer_again(loop, &r->from->look);
-	if (has_left(r->from))
-		caller_left(r);
+	ev_timer_again(loop, &r->conn->poll_timer);
+	if (caller_has_left(r->conn))
+		on_caller_left(r);
 	else if (!r->streaming)
-		ahead_look(r->from);
+		pipeline_poll(r->conn);
 }
 
-static void on_look(struct ev_loop *loop, ev_timer *w, int events)
+static void on_poll_timer(struct ev_loop *loop, ev_timer *w, int events)
 {
 	struct httpd_connection *c = w->data;
 
 	(void)events;
 	if (!c->current)
 		ev_timer_stop(loop, w);
-	else if (has_left(c))
-		caller_left(c->current);
+	else if (caller_has_left(c))
+		on_caller_left(c->current);
 	else if (!c->current->streaming)
-		ahead_look(c);
+		pipeline_poll(c);
 }
 
 static void watch_caller(struct httpd_request *r)
 {
-	if (!r->from || r->from->fd < 0)
+	if (!r->conn || r->conn->fd < 0)
 		return;
-	r->from->current = r;
-	ev_io_init(&r->watch, on_watch, r->from->fd, EV_READ);
-	r->watch.data = r;
-	ev_io_start(r->httpd->loop, &r->watch);
+	r->conn->current = r;
+	ev_io_init(&r->caller_watch, on_socket_readable, r->conn->fd, EV_READ);
+	r->caller_watch.data = r;
+	ev_io_start(r->httpd->loop, &r->caller_watch);
 }
 
 struct httpd_request *httpd_request_new(struct httpd *h)
@@ -199,23 +199,23 @@
 	struct httpd_request *r = g_new0(struct httpd_request, 1);
 
 	r->httpd = h;
-	r->read_us = clock_now_us();
+	r->read_at_us = clock_now_us();
 	r->body = g_byte_array_new();
-	ev_init(&r->watch, on_watch);
+	ev_init(&r->caller_watch, on_socket_readable);
 	return r;
 }
 
 void httpd_request_free(struct httpd_request *r)
 {
-	ev_io_stop(r->httpd->loop, &r->watch);
+	ev_io_stop(r->httpd->loop, &r->caller_watch);
 	g_free(r->method);
 	g_free(r->path);
 	g_free(r->url);
 	g_byte_array_unref(r->body);
 	if (r->headers)
 		g_ptr_array_unref(r->headers);
-	if (r->pending)
-		g_byte_array_unref(r->pending);
+	if (r->unsent)
+		g_byte_array_unref(r->unsent);
 	if (r->response)
 		MHD_destroy_response(r->response);
 	g_free(r);
@@ -227,12 +227,12 @@
 	struct httpd_request *r = httpd_request_new(user);
 	const union MHD_ConnectionInfo *info;
 
-	r->connection = c;
+	r->mhd_connection = c;
 	r->url = g_strdup(uri);
 	info = MHD_get_connection_info(c, MHD_CONNECTION_INFO_SOCKET_CONTEXT);
-	r->from = info ? info->socket_context : NULL;
-	if (r->from)
-		r->from->busy = true;
+	r->conn = info ? info->socket_context : NULL;
+	if (r->conn)
+		r->conn->has_request = true;
 	return r;
 }
 
@@ -245,11 +245,11 @@
 	*len = 0;
 }
 
-static enum MHD_Result send_queued(struct httpd_request *r)
+static enum MHD_Result queue_response(struct httpd_request *r)
 {
 	enum MHD_Result ok;
 
-	ok = MHD_queue_response(r->connection, r->status, r->response);
+	ok = MHD_queue_response(r->mhd_connection, r->status, r->response);
 	MHD_destroy_response(r->response);
 	r->response = NULL;
 	return ok;
@@ -258,8 +258,8 @@
 static enum MHD_Result wait_for_answer(struct httpd_request *r)
 {
 	if (r->response)
-		return send_queued(r);
-	MHD_suspend_connection(r->connection);
+		return queue_response(r);
+	MHD_suspend_connection(r->mhd_connection);
 	r->suspended = true;
 	watch_caller(r);
 	return MHD_YES;
@@ -287,27 +287,27 @@
 		return MHD_YES;
 	}
 	if (r->response)
-		return send_queued(r);
-	if (r->cut)
+		return queue_response(r);
+	if (r->drop_unanswered)
 		return MHD_NO;
 	if (r->answered)
 		return MHD_YES;
 	if (r->too_large) {
 		httpd_reply_text(r, MHD_HTTP_CONTENT_TOO_LARGE,
 				 "the body is too large\n");
-		return send_queued(r);
+		return queue_response(r);
 	}
 	/* It may have waited in the socket until its caller gave it up. */
-	if (h->ops->on_gone && r->from &&
-	    (r->from->left || has_left(r->from))) {
-		r->from->left = true;
-		ahead_left(r->from);
+	if (h->ops->on_caller_left && r->conn &&
+	    (r->conn->caller_left || caller_has_left(r->conn))) {
+		r->conn->caller_left = true;
+		pipeline_caller_left(r->conn);
 		COUNT(requests_left_unread);
 		return MHD_NO;
 	}
-	begun = r->from ? ahead_take(r->from, r) : NULL;
+	begun = r->conn ? pipeline_claim(r->conn, r) : NULL;
 	if (begun) {
-		begun->connection = r->connection;
+		begun->mhd_connection = r->mhd_connection;
 		httpd_request_free(r);
 		*state = begun;
 		return wait_for_answer(begun);
@@ -327,10 +327,10 @@
 	if (!r)
 		return;
 	h->ops->on_closed(h->user, r);
-	if (r->from) {
-		r->from->busy = false;
-		if (r->from->current == r)
-			r->from->current = NULL;
+	if (r->conn) {
+		r->conn->has_request = false;
+		if (r->conn->current == r)
+			r->conn->current = NULL;
 	}
 	httpd_request_free(r);
 	*state = NULL;
@@ -363,8 +363,8 @@
 	if (what == MHD_CONNECTION_NOTIFY_CLOSED) {
 		if (n) {
 			n->daemon->n_connections--;
-			ev_timer_stop(h->loop, &n->look);
-			ahead_drop(n);
+			ev_timer_stop(h->loop, &n->poll_timer);
+			pipeline_drop(n);
 			g_ptr_array_remove_fast(h->connections, n);
 		}
 		*socket_context = NULL;
@@ -373,20 +373,20 @@
 	info = MHD_get_connection_info(c, MHD_CONNECTION_INFO_CONNECTION_FD);
 	n = g_new0(struct httpd_connection, 1);
 	n->httpd = h;
-	n->connection = c;
+	n->mhd_connection = c;
 	n->fd = info ? info->connect_fd : -1;
 	n->daemon = daemon_of(h, c);
 	n->daemon->n_connections++;
-	ev_timer_init(&n->look, on_look, 0, LOOK_EVERY_S);
-	n->look.data = n;
-	g_queue_init(&n->ahead);
+	ev_timer_init(&n->poll_timer, on_poll_timer, 0, PIPELINE_POLL_S);
+	n->poll_timer.data = n;
+	g_queue_init(&n->pipelined);
 	g_ptr_array_add(h->connections, n);
 	*socket_context = n;
 }
 
 /* Start to listen, at addr or on a socket that listens already. */
-static struct MHD_Daemon *start(struct httpd *h, struct sockaddr_in *addr,
-				MHD_socket listening)
+static struct MHD_Daemon *
+start_daemon(struct httpd *h, struct sockaddr_in *addr, MHD_socket listening)
 {
 	enum MHD_OPTION where = addr ? MHD_OPTION_SOCK_ADDR : MHD_OPTION_END;
 	unsigned int flags = MHD_USE_EPOLL | MHD_ALLOW_SUSPEND_RESUME |
@@ -416,7 +416,7 @@
 static int add_daemon(struct httpd *h, struct sockaddr_in *addr,
 		      MHD_socket listening)
 {
-	struct MHD_Daemon *mhd = start(h, addr, listening);
+	struct MHD_Daemon *mhd = start_daemon(h, addr, listening);
 	const union MHD_DaemonInfo *info;
 	struct httpd_daemon *d;
 
@@ -447,7 +447,7 @@
 	h->ops = ops;
 	h->user = user;
 	h->max_body_bytes = max_body_bytes;
-	h->pool_bytes = POOL_BYTES;
+	h->pool_bytes = MIN_POOL_BYTES;
 	h->connections = g_ptr_array_new_with_free_func(g_free);
 	h->daemons = g_ptr_array_new_with_free_func(daemon_free);
 	if (add_daemon(h, &addr, MHD_INVALID_SOCKET)) {
@@ -463,14 +463,14 @@
 	return RESULT_OK;
 }
 
-int httpd_accept_heads(struct httpd *h, uint64_t bytes)
+int httpd_raise_head_limit(struct httpd *h, uint64_t bytes)
 {
 	uint64_t head = MIN(bytes, MAX_HEAD_BYTES);
-	uint64_t needs = head + head / HEAD_SHARE + ANSWER_BYTES;
-	uint64_t before = h->pool_bytes;
+	uint64_t needs = head + head / HEADER_INDEX_DIVISOR + ANSWER_HEAD_BYTES;
+	uint64_t old_bytes = h->pool_bytes;
 	MHD_socket fd;
 
-	if (h->closed || needs <= before)
+	if (h->stopped_listening || needs <= old_bytes)
 		return RESULT_OK;
 	fd = MHD_quiesce_daemon(h->daemon);
 	if (fd == MHD_INVALID_SOCKET)
@@ -478,7 +478,7 @@
 	h->pool_bytes = needs;
 	if (!add_daemon(h, NULL, fd))
 		return RESULT_OK;
-	h->pool_bytes = before;
+	h->pool_bytes = old_bytes;
 	if (add_daemon(h, NULL, fd))
 		g_error("cannot listen any more");
 	return RESULT_IO;
@@ -496,9 +496,9 @@
 		struct httpd_connection *c =
 			g_ptr_array_index(h->connections, i);
 
-		ev_timer_stop(h->loop, &c->look);
+		ev_timer_stop(h->loop, &c->poll_timer);
 		if (c->current)
-			cut(c->current);
+			drop_request(c->current);
 	}
 	for (i = 0; i < h->daemons->len; i++)
 		MHD_run(((struct httpd_daemon *)g_ptr_array_index(h->daemons,
@@ -523,37 +523,37 @@
 		struct httpd_connection *c =
 			g_ptr_array_index(h->connections, i);
 
-		if (c->busy || c->closing)
+		if (c->has_request || c->idle_close_set)
 			continue;
-		c->closing = true;
-		MHD_set_connection_option(c->connection,
+		c->idle_close_set = true;
+		MHD_set_connection_option(c->mhd_connection,
 					  MHD_CONNECTION_OPTION_TIMEOUT,
 					  DRAIN_IDLE_S);
 	}
-	h->dirty = true;
+	h->needs_run = true;
 }
 
-void httpd_close(struct httpd *h)
+void httpd_stop_listening(struct httpd *h)
 {
 	MHD_socket fd;
 
 	httpd_drain(h);
-	if (h->closed)
+	if (h->stopped_listening)
 		return;
-	h->closed = true;
+	h->stopped_listening = true;
 	fd = MHD_quiesce_daemon(h->daemon);
 	if (fd != MHD_INVALID_SOCKET)
 		close(fd);
 }
 
-bool httpd_quiet(const struct httpd *h)
+bool httpd_has_no_connections(const struct httpd *h)
 {
 	return !h->connections->len;
 }
 
-uint32_t httpd_behind(const struct httpd_request *r)
+uint32_t httpd_n_pipelined(const struct httpd_request *r)
 {
-	return r->from ? g_queue_get_length((GQueue *)&r->from->ahead) : 0;
+	return r->conn ? g_queue_get_length((GQueue *)&r->conn->pipelined) : 0;
 }
 
 static enum MHD_Result copy_header(void *user, enum MHD_ValueKind kind,
@@ -571,8 +571,8 @@
 	if (r->headers)
 		return g_ptr_array_ref(r->headers);
 	out = headers_new();
-	MHD_get_connection_values(r->connection, MHD_HEADER_KIND, copy_header,
-				  out);
+	MHD_get_connection_values(r->mhd_connection, MHD_HEADER_KIND,
+				  copy_header, out);
 	return out;
 }
 
@@ -581,17 +581,17 @@
 {
 	if (r->headers)
 		return header_find(r->headers, name);
-	return MHD_lookup_connection_value(r->connection, MHD_HEADER_KIND,
+	return MHD_lookup_connection_value(r->mhd_connection, MHD_HEADER_KIND,
 					   name);
 }
 
 /* A query argument by name, NULL when absent. */
 const char *httpd_argument(const struct httpd_request *r, const char *name)
 {
-	if (!r->connection)
+	if (!r->mhd_connection)
 		return NULL;
-	return MHD_lookup_connection_value(r->connection, MHD_GET_ARGUMENT_KIND,
-					   name);
+	return MHD_lookup_connection_value(r->mhd_connection,
+					   MHD_GET_ARGUMENT_KIND, name);
 }
 
 static void add_headers(struct httpd_request *r, const GPtrArray *headers)
@@ -602,7 +602,7 @@
 		MHD_add_response_header(r->response,
 					g_ptr_array_index(headers, i),
 					g_ptr_array_index(headers, i + 1));
-	if (r->httpd->draining || (r->from && r->from->left))
+	if (r->httpd->draining || (r->conn && r->conn->caller_left))
 		MHD_add_response_header(r->response, "Connection", "close");
 }
 
@@ -626,61 +626,62 @@
 	httpd_reply(r, status, NULL, text, strlen(text));
 }
 
-static ssize_t on_read(void *user, uint64_t pos, char *out, size_t max)
+static ssize_t read_unsent(void *user, uint64_t pos, char *out, size_t max)
 {
 	struct httpd_request *r = user;
-	size_t n = MIN(max, r->pending->len);
+	size_t n = MIN(max, r->unsent->len);
 
 	(void)pos;
 	if (!n) {
-		if (r->ended)
-			return r->failed ? MHD_CONTENT_READER_END_WITH_ERROR
-					 : MHD_CONTENT_READER_END_OF_STREAM;
-		MHD_suspend_connection(r->connection);
+		if (r->body_ended)
+			return r->body_incomplete
+				       ? MHD_CONTENT_READER_END_WITH_ERROR
+				       : MHD_CONTENT_READER_END_OF_STREAM;
+		MHD_suspend_connection(r->mhd_connection);
 		r->suspended = true;
 		watch_caller(r);
 		return 0;
 	}
-	memcpy(out, r->pending->data, n);
-	g_byte_array_remove_range(r->pending, 0, n);
+	memcpy(out, r->unsent->data, n);
+	g_byte_array_remove_range(r->unsent, 0, n);
 	if (r->httpd->ops->on_drained)
 		r->httpd->ops->on_drained(r->httpd->user, r);
 	return n;
 }
 
-void httpd_stream(struct httpd_request *r, uint32_t status,
-		  const GPtrArray *headers, int64_t length)
+void httpd_stream_begin(struct httpd_request *r, uint32_t status,
+			const GPtrArray *headers, int64_t length)
 {
 	if (r->answered)
 		return;
 	r->answered = true;
 	r->streaming = true;
 	r->status = status;
-	r->pending = g_byte_array_new();
+	r->unsent = g_byte_array_new();
 	r->response = MHD_create_response_from_callback(
 		length < 0 ? MHD_SIZE_UNKNOWN : (uint64_t)length,
-		STREAM_BLOCK_BYTES, on_read, r, NULL);
+		STREAM_BLOCK_BYTES, read_unsent, r, NULL);
 	add_headers(r, headers);
 	resume(r);
 }
 
 /* Add bytes to a streamed answer. */
-void httpd_push(struct httpd_request *r, const void *data, size_t len)
+void httpd_stream_write(struct httpd_request *r, const void *data, size_t len)
 {
-	g_byte_array_append(r->pending, data, len);
+	g_byte_array_append(r->unsent, data, len);
 	resume(r);
 }
 
 /* End a streamed answer; one that is not whole cuts the connection. */
-void httpd_end(struct httpd_request *r, bool whole)
+void httpd_stream_end(struct httpd_request *r, bool complete)
 {
-	r->ended = true;
-	r->failed = !whole;
+	r->body_ended = true;
+	r->body_incomplete = !complete;
 	resume(r);
 }
 
 /* Bytes of a streamed answer that wait in memory. */
-size_t httpd_pending(const struct httpd_request *r)
+size_t httpd_unsent_bytes(const struct httpd_request *r)
 {
-	return r->pending ? r->pending->len : 0;
+	return r->unsent ? r->unsent->len : 0;
 }
--- a/net/httpd.h
+++ b/net/httpd.h
@@ -24,13 +24,13 @@
 	 * the turn of one that was begun ahead of it. May be NULL; on_closed
 	 * follows.
 	 */
-	void (*on_gone)(void *user, struct httpd_request *r);
+	void (*on_caller_left)(void *user, struct httpd_request *r);
 	/*
 	 * Whether a request without a body may begin before it is its turn on
 	 * its connection, and be dropped should the connection end. May be
 	 * NULL: none may.
 	 */
-	bool (*may_begin)(void *user, const struct httpd_request *r);
+	bool (*may_begin_early)(void *user, const struct httpd_request *r);
 	/* The caller went away, or its answer is finished; r ends here. */
 	void (*on_closed)(void *user, struct httpd_request *r);
 	/* A streamed answer has room again. */
@@ -48,9 +48,9 @@
 	void *user;
 	uint64_t max_body_bytes;
 	GPtrArray *connections; /* struct httpd_connection */
-	bool dirty; /* a connection was resumed: run the daemon */
+	bool needs_run; /* a connection was resumed: run the daemon */
 	bool draining;
-	bool closed; /* takes no connections any more */
+	bool stopped_listening; /* takes no connections any more */
 };
 
 /*
@@ -68,25 +68,25 @@
 struct httpd_connection {
 	struct httpd *httpd;
 	struct httpd_daemon *daemon;
-	struct MHD_Connection *connection;
+	struct MHD_Connection *mhd_connection;
 	int fd;
-	bool busy; /* a request on it has begun and is not finished */
-	bool closing; /* it was told to close when idle for a moment */
-	bool left; /* the caller has closed it: nothing more is begun */
+	bool has_request; /* a request on it has begun and is not finished */
+	bool idle_close_set; /* it was told to close when idle for a moment */
+	bool caller_left; /* the caller has closed it: nothing more is begun */
 	struct httpd_request *current; /* suspended while it is worked on */
-	ev_timer look; /* for what else comes meanwhile */
-	GQueue ahead; /* struct httpd_request begun before their turn */
-	size_t ahead_bytes; /* what these take of what waits in the socket */
+	ev_timer poll_timer; /* for what else comes meanwhile */
+	GQueue pipelined; /* struct httpd_request begun before their turn */
+	size_t pipelined_bytes; /* what these take of what waits in the socket */
 };
 
 struct httpd_request {
 	struct httpd *httpd;
-	struct MHD_Connection *connection; /* NULL before its turn */
-	struct httpd_connection *from;
+	struct MHD_Connection *mhd_connection; /* NULL before its turn */
+	struct httpd_connection *conn;
 	GPtrArray *headers; /* of one begun before its turn, else NULL */
 	bool in_socket; /* the same, and libmicrohttpd has not read it yet */
-	ev_io watch; /* for the caller's leaving, while suspended */
-	int64_t read_us; /* when its first line was read */
+	ev_io caller_watch; /* for the caller's leaving, while suspended */
+	int64_t read_at_us; /* when its first line was read */
 	char *method;
 	char *path; /* decoded, without the query */
 	char *url; /* as it came, with the query */
@@ -95,12 +95,12 @@
 	bool suspended;
 	bool answered;
 	bool streaming;
-	bool ended;
-	bool failed;
-	bool cut; /* ends with its connection, unanswered */
+	bool body_ended;
+	bool body_incomplete;
+	bool drop_unanswered; /* ends with its connection, unanswered */
 	struct MHD_Response *response; /* queued on resume */
 	uint32_t status;
-	GByteArray *pending; /* streamed bytes not yet taken */
+	GByteArray *unsent; /* streamed bytes not yet taken */
 	void *user;
 };
 
@@ -119,7 +119,7 @@
  * connections from now on. Never less than before. Not to be called from an
  * operation of httpd_ops. Returns RESULT_OK, or RESULT_IO when it is as before.
  */
-int httpd_accept_heads(struct httpd *h, uint64_t bytes);
+int httpd_raise_head_limit(struct httpd *h, uint64_t bytes);
 
 /*
  * For a graceful stop: close connections after their next answer, or when idle
@@ -128,17 +128,17 @@
 void httpd_drain(struct httpd *h);
 
 /* Take no new connections. */
-void httpd_close(struct httpd *h);
+void httpd_stop_listening(struct httpd *h);
 
 /* Whether no connection is open. */
-bool httpd_quiet(const struct httpd *h);
+bool httpd_has_no_connections(const struct httpd *h);
 
-/* For net/ahead.c: one that has not been read from a connection. */
+/* For net/pipeline.c: one that has not been read from a connection. */
 struct httpd_request *httpd_request_new(struct httpd *h);
 void httpd_request_free(struct httpd_request *r);
 
 /* Requests begun behind this one on its connection. */
-uint32_t httpd_behind(const struct httpd_request *r);
+uint32_t httpd_n_pipelined(const struct httpd_request *r);
 
 /* All headers, name and value in turn; the caller unrefs. */
 GPtrArray *httpd_headers(const struct httpd_request *r);
@@ -152,10 +152,10 @@
 		      const char *text);
 
 /* Answer in pieces; length < 0: unknown. */
-void httpd_stream(struct httpd_request *r, uint32_t status,
-		  const GPtrArray *headers, int64_t length);
-void httpd_push(struct httpd_request *r, const void *data, size_t len);
-void httpd_end(struct httpd_request *r, bool whole);
-size_t httpd_pending(const struct httpd_request *r);
+void httpd_stream_begin(struct httpd_request *r, uint32_t status,
+			const GPtrArray *headers, int64_t length);
+void httpd_stream_write(struct httpd_request *r, const void *data, size_t len);
+void httpd_stream_end(struct httpd_request *r, bool complete);
+size_t httpd_unsent_bytes(const struct httpd_request *r);
 
 #endif
--- a/net/log-client.c
+++ b/net/log-client.c
@@ -17,14 +17,14 @@
  * An answer beyond the wait for news takes some milliseconds. A log that takes
  * longer than this is slow, and is given twice as long each time.
  */
-#define PATIENCE_MIN_MS 1000
-#define PATIENCE_MAX_MS 8000
+#define ANSWER_TIMEOUT_MIN_MS 1000
+#define ANSWER_TIMEOUT_MAX_MS 8000
 /* A read younger than this may still tell of the news by itself. */
-#define RENEW_AGE_MS 500
+#define RESTART_MIN_AGE_MS 500
 /* The clock has moved on by then, so that the read counts as a later one. */
-#define DOUBT_READ_MS 5
+#define IN_DOUBT_READ_DELAY_MS 5
 
-static bool has_doubts(const struct log_client *c)
+static bool has_append_in_doubt(const struct log_client *c)
 {
 	uint32_t i;
 
@@ -40,14 +40,15 @@
 	if (c->reading)
 		return;
 	c->reading = true;
-	c->renewed = false;
-	c->read_sent_ms = clock_now_ms();
-	c->read_from = c->trimmed ? c->scan_from : c->next;
+	c->read_restarted = false;
+	c->read_sent_at_ms = clock_now_ms();
+	c->read_from = c->scanning ? c->scan_from : c->next;
 	COUNT(log_reads);
-	if (c->trimmed && c->ops->recover)
+	if (c->scanning && c->ops->recover)
 		c->ops->recover(c);
 	else
-		c->ops->read(c, c->read_from, has_doubts(c) ? 0 : c->wait_ms);
+		c->ops->read(c, c->read_from,
+			     has_append_in_doubt(c) ? 0 : c->wait_ms);
 }
 
 static void on_timer(struct ev_loop *loop, ev_timer *w, int events)
@@ -57,7 +58,7 @@
 	start_read(w->data);
 }
 
-static void read_again(struct log_client *c, int64_t ms)
+static void schedule_read(struct log_client *c, int64_t ms)
 {
 	ev_timer_stop(c->loop, &c->timer);
 	ev_timer_set(&c->timer, ms / 1000.0, 0);
@@ -75,7 +76,7 @@
 	c->handlers = handlers;
 	c->user = user;
 	c->wait_ms = DEFAULT_WAIT_MS;
-	c->patience_ms = PATIENCE_MIN_MS;
+	c->answer_timeout_ms = ANSWER_TIMEOUT_MIN_MS;
 	c->retry_max_ms = RETRY_MAX_MS;
 	c->name = "log";
 	g_strlcpy(c->address, address, sizeof(c->address));
@@ -86,7 +87,7 @@
 	fetcher_init(&c->fetcher, loop, LOG_CONNECTIONS);
 	ev_init(&c->timer, on_timer);
 	c->timer.data = c;
-	read_again(c, 0);
+	schedule_read(c, 0);
 }
 
 static void append_free(struct log_append *a)
@@ -111,30 +112,30 @@
 	}
 	g_ptr_array_unref(c->appends);
 	g_string_free(c->read_answer, TRUE);
-	json_decref(c->newest);
+	json_decref(c->newest_records);
 	fetcher_finish(&c->fetcher);
 }
 
 void log_client_recover_first(struct log_client *c)
 {
-	c->trimmed = c->ops->recover;
+	c->scanning = c->ops->recover;
 }
 
 /* Whether the last read succeeded. */
 bool log_client_up(const struct log_client *c)
 {
-	return !c->failures;
+	return !c->n_failures;
 }
 
 void log_client_seek(struct log_client *c, int64_t next)
 {
-	c->trimmed = false;
+	c->scanning = false;
 	c->next = next;
 }
 
 void log_client_scan(struct log_client *c, int64_t from)
 {
-	c->trimmed = true;
+	c->scanning = true;
 	c->scan_from = from;
 }
 
@@ -151,12 +152,12 @@
  * effect, and until then nothing more of its kind is appended. The one under
  * way may wait for news for seconds, so it ends here.
  */
-static void read_after_doubt(struct log_client *c)
+static void read_to_resolve_doubt(struct log_client *c)
 {
 	if (c->reading)
 		fetch_cancel(&c->read_fetch);
 	c->reading = false;
-	read_again(c, DOUBT_READ_MS);
+	schedule_read(c, IN_DOUBT_READ_DELAY_MS);
 }
 
 /*
@@ -165,44 +166,44 @@
  * seconds, while others hear of every change. One notices by a peer that knows
  * more. Begun again it is answered at once.
  */
-void log_client_renew(struct log_client *c)
+void log_client_restart_read(struct log_client *c)
 {
 	/* A read of the whole log is long, and tells of the news by itself. */
-	if (c->trimmed)
+	if (c->scanning)
 		return;
-	if (!c->reading && !c->failures)
+	if (!c->reading && !c->n_failures)
 		log_client_read_now(c);
-	if (!c->reading || c->renewed ||
-	    clock_now_ms() - c->read_sent_ms < RENEW_AGE_MS)
+	if (!c->reading || c->read_restarted ||
+	    clock_now_ms() - c->read_sent_at_ms < RESTART_MIN_AGE_MS)
 		return;
 	COUNT(log_reads_renewed);
 	EVENT(store_read_renewed, NULL,
 	      "\"stream\":\"%s\",\"next\":%" PRId64 ",\"age_ms\":%" PRId64,
-	      c->name, c->next, clock_now_ms() - c->read_sent_ms);
+	      c->name, c->next, clock_now_ms() - c->read_sent_at_ms);
 	fetch_cancel(&c->read_fetch);
 	c->reading = false;
 	ev_timer_stop(c->loop, &c->timer);
 	start_read(c);
-	c->renewed = true;
+	c->read_restarted = true;
 }
 
-void log_client_is_back(struct log_client *c)
+void log_client_on_other_stream_up(struct log_client *c)
 {
-	c->told_back = true;
+	c->other_stream_up = true;
 	if (c->reading)
-		log_client_renew(c);
+		log_client_restart_read(c);
 	else
 		log_client_read_now(c);
 }
 
-void log_client_rest(struct log_client *c)
+void log_client_pause(struct log_client *c)
 {
-	if (c->trimmed || has_doubts(c))
+	if (c->scanning || has_append_in_doubt(c))
 		return;
 	if (c->reading)
 		fetch_cancel(&c->read_fetch);
 	c->reading = false;
-	read_again(c, c->pause_ms);
+	schedule_read(c, c->pause_ms);
 }
 
 static void end_append(struct log_append *a, int result)
@@ -215,7 +216,7 @@
 	c->handlers->on_appended(c->user, kind, user, result);
 }
 
-static void found_in_log(struct log_client *c, const char *id)
+static void on_append_found(struct log_client *c, const char *id)
 {
 	uint32_t i;
 
@@ -230,7 +231,7 @@
 	}
 }
 
-static void settle_doubts(struct log_client *c)
+static void resolve_appends_in_doubt(struct log_client *c)
 {
 	uint32_t i;
 
@@ -242,12 +243,12 @@
 	for (i = c->appends->len; i-- > 0;) {
 		struct log_append *a = g_ptr_array_index(c->appends, i);
 
-		if (a->in_doubt && c->read_sent_ms > a->doubt_ms)
+		if (a->in_doubt && c->read_sent_at_ms > a->in_doubt_since_ms)
 			end_append(a, RESULT_UNREACHABLE);
 	}
 }
 
-static void take_records(struct log_client *c, const struct log_batch *b)
+static void process_records(struct log_client *c, const struct log_batch *b)
 {
 	json_t *item;
 	size_t i;
@@ -260,77 +261,79 @@
 
 		if (!id || !json_object_get(item, "record"))
 			continue;
-		if (c->trimmed)
+		if (c->scanning)
 			c->scan_from = offset + 1;
 		c->handlers->on_record(c->user, offset, id,
 				       json_object_get(item, "record"));
-		found_in_log(c, id);
+		on_append_found(c, id);
 	}
 }
 
 void log_client_read_done(struct log_client *c, struct log_batch *b)
 {
 	int64_t reached;
-	bool news, back;
+	bool has_news, regained;
 
 	c->reading = false;
 	if (b->result == RESULT_TRIMMED) {
-		c->failures = 0;
+		c->n_failures = 0;
 		c->handlers->on_trimmed(c->user, b->first);
-		read_again(c, RETRY_MIN_MS);
+		schedule_read(c, RETRY_MIN_MS);
 		return;
 	}
 	if (b->result == RESULT_TIMEOUT)
-		c->patience_ms = MIN(c->patience_ms * 2, PATIENCE_MAX_MS);
+		c->answer_timeout_ms =
+			MIN(c->answer_timeout_ms * 2, ANSWER_TIMEOUT_MAX_MS);
 	else if (!b->result)
-		c->patience_ms = MAX(c->patience_ms / 2, PATIENCE_MIN_MS);
+		c->answer_timeout_ms =
+			MAX(c->answer_timeout_ms / 2, ANSWER_TIMEOUT_MIN_MS);
 	if (b->result) {
 		COUNT(log_failures);
-		if (!c->failures)
+		if (!c->n_failures)
 			EVENT(store_lost, NULL,
 			      "\"stream\":\"%s\",\"why\":\"%s\","
 			      "\"next\":%" PRId64,
 			      c->name, result_name(b->result), c->next);
-		c->failures++;
+		c->n_failures++;
 		c->retry_ms =
 			CLAMP(c->retry_ms * 2, RETRY_MIN_MS, c->retry_max_ms);
-		read_again(c, g_random_int_range(c->retry_ms / 2,
-						 c->retry_ms + 1));
+		schedule_read(c, g_random_int_range(c->retry_ms / 2,
+						    c->retry_ms + 1));
 		return;
 	}
 	/* Told by the other, it need not be told in turn. */
-	back = !c->told_back && (c->failures || c->renewed);
-	if (c->failures)
+	regained = !c->other_stream_up && (c->n_failures || c->read_restarted);
+	if (c->n_failures)
 		EVENT(store_regained, NULL,
 		      "\"stream\":\"%s\",\"failures\":%" PRId64
 		      ",\"end\":%" PRId64,
-		      c->name, c->failures, b->next);
-	c->failures = 0;
-	c->renewed = false;
-	c->told_back = false;
+		      c->name, c->n_failures, b->next);
+	c->n_failures = 0;
+	c->read_restarted = false;
+	c->other_stream_up = false;
 	c->retry_ms = 0;
-	if (back && c->handlers->on_regained)
+	if (regained && c->handlers->on_regained)
 		c->handlers->on_regained(c->user);
-	take_records(c, b);
-	if (c->trimmed && c->ops->recover)
+	process_records(c, b);
+	if (c->scanning && c->ops->recover)
 		c->scan_from = b->next;
-	news = json_array_size(b->records);
-	reached = c->trimmed ? c->scan_from : c->next;
+	has_news = json_array_size(b->records);
+	reached = c->scanning ? c->scan_from : c->next;
 	if (reached < b->next) {
-		read_again(c, 0);
+		schedule_read(c, 0);
 		return;
 	}
-	settle_doubts(c);
-	c->handlers->on_tail(c->user, c->read_sent_ms);
-	if (c->trimmed || has_doubts(c))
-		read_again(c, 0);
+	resolve_appends_in_doubt(c);
+	c->handlers->on_tail(c->user, c->read_sent_at_ms);
+	if (c->scanning || has_append_in_doubt(c))
+		schedule_read(c, 0);
 	else
-		read_again(c, MAX(c->pause_ms, news ? c->gather_ms : 0));
+		schedule_read(c, MAX(c->pause_ms, has_news ? c->gather_ms : 0));
 }
 
-void log_client_appended(struct log_append *a, int result, bool sent)
+void log_client_append_done(struct log_append *a, int result, bool sent)
 {
-	MEASURE(store_append_ms, clock_now_ms() - a->began_ms);
+	MEASURE(store_append_ms, clock_now_ms() - a->started_at_ms);
 	if (result == RESULT_OK) {
 		end_append(a, RESULT_OK);
 		return;
@@ -348,11 +351,11 @@
 	}
 	COUNT(log_append_answers_lost);
 	a->in_doubt = true;
-	a->doubt_ms = clock_now_ms();
-	read_after_doubt(a->client);
+	a->in_doubt_since_ms = clock_now_ms();
+	read_to_resolve_doubt(a->client);
 }
 
-void log_client_append(struct log_client *c, int kind, bool anywhere,
+void log_client_append(struct log_client *c, int kind, bool any_offset,
 		       void *append_user, json_t *record)
 {
 	struct log_append *a;
@@ -367,9 +370,9 @@
 	}
 	a = g_new0(struct log_append, 1);
 	a->client = c;
-	a->began_ms = clock_now_ms();
+	a->started_at_ms = clock_now_ms();
 	a->kind = kind;
-	a->anywhere = anywhere;
+	a->any_offset = any_offset;
 	a->user = append_user;
 	a->answer = g_string_new(NULL);
 	g_snprintf(a->id, sizeof(a->id), "%s-%" G_GUINT64_FORMAT, c->writer,
@@ -427,7 +430,7 @@
 
 	g_string_set_size(c->read_answer, 0);
 	fetch_start(&c->read_fetch, &c->fetcher, "GET", url, NULL, NULL, 0,
-		    wait_ms + c->patience_ms, false, &read_ops, c);
+		    wait_ms + c->answer_timeout_ms, false, &read_ops, c);
 }
 
 static bool on_append_data(struct fetch *f, const void *data, size_t len)
@@ -442,7 +445,7 @@
 {
 	if (!result && f->status != 200)
 		result = RESULT_IO;
-	log_client_appended(f->user, result, f->sent);
+	log_client_append_done(f->user, result, f->sent);
 }
 
 static const struct fetch_ops append_ops = {
--- a/net/log-client.h
+++ b/net/log-client.h
@@ -36,7 +36,7 @@
 	 * history must do.
 	 */
 	void (*recover)(struct log_client *c);
-	/* Append; answered by log_client_appended(). */
+	/* Append; answered by log_client_append_done(). */
 	void (*append)(struct log_client *c, struct log_append *a);
 };
 
@@ -47,13 +47,13 @@
 	GString *body;
 	GString *answer;
 	char id[40];
-	int64_t began_ms;
+	int64_t started_at_ms;
 	int kind; /* the caller's own mark */
 	void *user;
-	bool anywhere; /* it may come after records not read yet */
-	uint32_t moves; /* to another offset, since others came first */
+	bool any_offset; /* it may come after records not read yet */
+	uint32_t n_moved; /* to another offset, since others came first */
 	bool in_doubt; /* sent, and no answer came */
-	int64_t doubt_ms;
+	int64_t in_doubt_since_ms;
 };
 
 struct log_handlers {
@@ -87,23 +87,24 @@
 	struct fetch read_fetch;
 	GString *read_answer;
 	int64_t read_from;
-	int64_t read_sent_ms;
+	int64_t read_sent_at_ms;
 	int64_t wait_ms; /* how long a read may wait for news */
 	int64_t pause_ms; /* between reads that found all there is */
 	int64_t gather_ms; /* after a read with news, before the next */
-	int64_t patience_ms; /* how long beyond that for its answer */
+	int64_t answer_timeout_ms; /* how long beyond that for its answer */
 	bool reading;
-	bool renewed; /* the read under way replaced one that heard nothing */
-	bool told_back; /* it was begun since another stream is back */
-	json_t *newest; /* during recover */
-	int64_t newest_end;
+	bool read_restarted; /* the read under way replaced one that heard
+				nothing */
+	bool other_stream_up; /* it was begun since another stream is back */
+	json_t *newest_records; /* during recover */
+	int64_t newest_end_offset;
 	uint32_t n_pages;
-	bool trimmed; /* reading for a snapshot, from scan_from on */
+	bool scanning; /* reading for a snapshot, from scan_from on */
 	int64_t scan_from;
 	int64_t next; /* next offset to be read */
 	int64_t retry_ms;
 	int64_t retry_max_ms; /* how long to wait at most after a failure */
-	int64_t failures;
+	int64_t n_failures;
 	ev_timer timer;
 	GPtrArray *appends; /* struct log_append */
 };
@@ -133,7 +134,7 @@
  * effect on a read that is young, or that was itself begun for this, nor while
  * the whole log is read.
  */
-void log_client_renew(struct log_client *c);
+void log_client_restart_read(struct log_client *c);
 
 /* End a pause between reads. */
 void log_client_read_now(struct log_client *c);
@@ -142,10 +143,10 @@
  * Another stream of the same log answers again: do not wait for a retry, nor on
  * a connection from before.
  */
-void log_client_is_back(struct log_client *c);
+void log_client_on_other_stream_up(struct log_client *c);
 
 /* End a read that only waits for news; the next one begins after the pause. */
-void log_client_rest(struct log_client *c);
+void log_client_pause(struct log_client *c);
 
 /*
  * Append a record, which is stolen. anywhere: it means the same after records
@@ -153,12 +154,12 @@
  * that these should be read; a record that may come anywhere tries to follow
  * them a few times before.
  */
-void log_client_append(struct log_client *c, int kind, bool anywhere,
+void log_client_append(struct log_client *c, int kind, bool any_offset,
 		       void *append_user, json_t *record);
 
 /* For the ops: a read or an append has ended. */
 void log_client_read_done(struct log_client *c, struct log_batch *b);
-void log_client_appended(struct log_append *a, int result, bool sent);
+void log_client_append_done(struct log_append *a, int result, bool sent);
 
 bool log_client_up(const struct log_client *c);
 
--- a/net/peer.c
+++ b/net/peer.c
@@ -14,7 +14,7 @@
 #define HEARTBEAT_TIMEOUT_MS 2500
 #define CONNECT_TIMEOUT_MS 1000
 #define HANDSHAKE_TIMEOUT_MS 2000
-#define RECONNECT_MS 50
+#define RECONNECT_MIN_MS 50
 #define RECONNECT_MAX_MS 1000
 #define QUEUE_MESSAGES 2000
 /*
@@ -23,25 +23,25 @@
  */
 #define RECEIVE_QUEUE_MESSAGES 50000
 #define IDLE_CLOSE_MS 30000
-#define LAST_WORD_MS 100
-#define SWEEP_S 1.0
+#define ROUTER_LINGER_MS 100
+#define IDLE_CHECK_S 1.0
 /* A message that says nothing: it is sent to learn whether it can be. */
-#define PROBE "p"
+#define PROBE_MESSAGE "p"
 
 struct peer_link {
 	struct peers *peers;
 	char *address;
 	void *dealer;
 	ev_io io;
-	bool dirty;
-	bool was_up;
-	GQueue waiting; /* struct waiting_message, for a connection */
-	int64_t opened_ms;
-	int64_t used_ms;
-	int64_t heard_ms;
+	bool needs_check;
+	bool was_connected;
+	GQueue queued; /* struct queued_message, for a connection */
+	int64_t opened_at_ms;
+	int64_t last_used_at_ms;
+	int64_t last_received_at_ms;
 };
 
-struct waiting_message {
+struct queued_message {
 	uint64_t tag; /* 0: not to be taken back */
 	zmq_msg_t body;
 };
@@ -51,7 +51,7 @@
 	zmq_setsockopt(socket, option, &value, sizeof(value));
 }
 
-static void set_common(void *socket)
+static void set_common_options(void *socket)
 {
 	int64_t max = MAX_MESSAGE_BYTES;
 
@@ -72,12 +72,12 @@
 	 */
 	set_int(socket, ZMQ_CONNECT_TIMEOUT, CONNECT_TIMEOUT_MS);
 	set_int(socket, ZMQ_HANDSHAKE_IVL, HANDSHAKE_TIMEOUT_MS);
-	set_int(socket, ZMQ_RECONNECT_IVL, RECONNECT_MS);
+	set_int(socket, ZMQ_RECONNECT_IVL, RECONNECT_MIN_MS);
 	set_int(socket, ZMQ_RECONNECT_IVL_MAX, RECONNECT_MAX_MS);
 	zmq_setsockopt(socket, ZMQ_MAXMSGSIZE, &max, sizeof(max));
 }
 
-static int descriptor(void *socket)
+static int socket_fd(void *socket)
 {
 	int fd = -1;
 	size_t len = sizeof(fd);
@@ -94,7 +94,7 @@
 
 	if (g_hash_table_contains(p->blocked, from->address))
 		return;
-	if (len == strlen(PROBE) && !memcmp(data, PROBE, len))
+	if (len == strlen(PROBE_MESSAGE) && !memcmp(data, PROBE_MESSAGE, len))
 		return;
 	if (!len || (data[0] != PLANE_MEMBER && data[0] != PLANE_REQUEST)) {
 		COUNT(peer_messages_malformed);
@@ -152,21 +152,21 @@
 	return got;
 }
 
-static void pump_router(struct peers *p)
+static void receive_inbound_all(struct peers *p)
 {
-	p->router_dirty = false;
+	p->router_needs_check = false;
 	while (receive_inbound(p))
 		;
 }
 
-static void waiting_free(struct waiting_message *w)
+static void queued_message_free(struct queued_message *w)
 {
 	zmq_msg_close(&w->body);
 	g_free(w);
 }
 
 /* Hand a message to the library, which owns it then. */
-static bool hand_over(void *socket, zmq_msg_t *body)
+static bool pass_to_zmq(void *socket, zmq_msg_t *body)
 {
 	size_t len = zmq_msg_size(body);
 	char plane = *(const char *)zmq_msg_data(body);
@@ -181,16 +181,16 @@
 }
 
 /* Send what waited for a connection. Returns whether nothing waits any more. */
-static bool flush_waiting(struct peer_link *l)
+static bool flush_queued(struct peer_link *l)
 {
-	while (!g_queue_is_empty(&l->waiting)) {
-		struct waiting_message *w = g_queue_peek_head(&l->waiting);
+	while (!g_queue_is_empty(&l->queued)) {
+		struct queued_message *w = g_queue_peek_head(&l->queued);
 
-		if (!hand_over(l->dealer, &w->body))
+		if (!pass_to_zmq(l->dealer, &w->body))
 			return false;
-		l->was_up = true;
-		g_queue_pop_head(&l->waiting);
-		waiting_free(w);
+		l->was_connected = true;
+		g_queue_pop_head(&l->queued);
+		queued_message_free(w);
 	}
 	return true;
 }
@@ -204,8 +204,8 @@
 	zmq_msg_init(&body);
 	got = zmq_msg_recv(&body, l->dealer, ZMQ_DONTWAIT) >= 0;
 	if (got) {
-		l->heard_ms = clock_now_ms();
-		l->used_ms = l->heard_ms;
+		l->last_received_at_ms = clock_now_ms();
+		l->last_used_at_ms = l->last_received_at_ms;
 		deliver(l->peers, &from, &body);
 	}
 	zmq_msg_close(&body);
@@ -213,7 +213,7 @@
 }
 
 /* Whether a socket has something to read or can be sent on. */
-static bool usable(const struct peer_link *l)
+static bool has_event(const struct peer_link *l)
 {
 	int events = 0;
 	size_t len = sizeof(events);
@@ -226,18 +226,18 @@
  * A handler may close the link that it was called from, so look it up again
  * after each message.
  */
-static void pump_link(struct peers *p, const char *address)
+static void process_link(struct peers *p, const char *address)
 {
 	g_autofree char *key = g_strdup(address);
 	struct peer_link *l;
 
 	while ((l = g_hash_table_lookup(p->links, key))) {
-		l->dirty = false;
+		l->needs_check = false;
 		if (receive_answer(l))
 			continue;
-		if (g_queue_is_empty(&l->waiting) || !usable(l))
+		if (g_queue_is_empty(&l->queued) || !has_event(l))
 			return;
-		flush_waiting(l);
+		flush_queued(l);
 	}
 }
 
@@ -245,7 +245,7 @@
 {
 	(void)loop;
 	(void)events;
-	pump_router(w->data);
+	receive_inbound_all(w->data);
 }
 
 static void on_link(struct ev_loop *loop, ev_io *w, int events)
@@ -254,7 +254,7 @@
 
 	(void)loop;
 	(void)events;
-	pump_link(l->peers, l->address);
+	process_link(l->peers, l->address);
 }
 
 /*
@@ -268,15 +268,16 @@
 
 	(void)loop;
 	(void)events;
-	while (p->router_dirty || p->dirty->len) {
+	while (p->router_needs_check || p->links_to_check->len) {
 		struct peer_link *l;
 
-		if (p->router_dirty)
-			pump_router(p);
-		if (!p->dirty->len)
+		if (p->router_needs_check)
+			receive_inbound_all(p);
+		if (!p->links_to_check->len)
 			continue;
-		l = g_ptr_array_remove_index_fast(p->dirty, p->dirty->len - 1);
-		pump_link(p, l->address);
+		l = g_ptr_array_remove_index_fast(p->links_to_check,
+						  p->links_to_check->len - 1);
+		process_link(p, l->address);
 	}
 }
 
@@ -284,16 +285,16 @@
 {
 	struct peer_link *l = data;
 
-	g_ptr_array_remove_fast(l->peers->dirty, l);
+	g_ptr_array_remove_fast(l->peers->links_to_check, l);
 	ev_io_stop(l->peers->loop, &l->io);
-	g_queue_clear_full(&l->waiting, (GDestroyNotify)waiting_free);
+	g_queue_clear_full(&l->queued, (GDestroyNotify)queued_message_free);
 	zmq_close(l->dealer);
 	g_free(l->address);
 	g_free(l);
 	COUNT(peer_links_closed);
 }
 
-static void on_sweep(struct ev_loop *loop, ev_timer *w, int events)
+static void on_idle_timer(struct ev_loop *loop, ev_timer *w, int events)
 {
 	struct peers *p = w->data;
 	int64_t now = clock_now_ms();
@@ -306,7 +307,7 @@
 	while (g_hash_table_iter_next(&it, NULL, &value)) {
 		struct peer_link *l = value;
 
-		if (now - l->used_ms > p->idle_close_ms)
+		if (now - l->last_used_at_ms > p->idle_close_ms)
 			g_hash_table_iter_remove(&it);
 	}
 }
@@ -328,30 +329,31 @@
 		   g_random_int());
 	p->context = zmq_ctx_new();
 	p->router = zmq_socket(p->context, ZMQ_ROUTER);
-	set_common(p->router);
+	set_common_options(p->router);
 	/* A last word needs a moment to go out. */
-	set_int(p->router, ZMQ_LINGER, LAST_WORD_MS);
+	set_int(p->router, ZMQ_LINGER, ROUTER_LINGER_MS);
 	set_int(p->router, ZMQ_ROUTER_HANDOVER, 1);
 	/* What cannot be sent is an error, and not dropped in silence. */
 	set_int(p->router, ZMQ_ROUTER_MANDATORY, 1);
 	p->links =
 		g_hash_table_new_full(g_str_hash, g_str_equal, NULL, link_free);
-	p->dirty = g_ptr_array_new();
+	p->links_to_check = g_ptr_array_new();
 	p->blocked =
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
-	ev_io_init(&p->router_io, on_router, descriptor(p->router), EV_READ);
+	ev_io_init(&p->router_io, on_router, socket_fd(p->router), EV_READ);
 	ev_prepare_init(&p->prepare, on_prepare);
-	ev_timer_init(&p->sweep, on_sweep, SWEEP_S, SWEEP_S);
+	ev_timer_init(&p->idle_timer, on_idle_timer, IDLE_CHECK_S,
+		      IDLE_CHECK_S);
 	p->router_io.data = p;
 	p->prepare.data = p;
-	p->sweep.data = p;
+	p->idle_timer.data = p;
 	if (zmq_bind(p->router, endpoint)) {
 		peers_finish(p);
 		return RESULT_IO;
 	}
 	ev_io_start(loop, &p->router_io);
 	ev_prepare_start(loop, &p->prepare);
-	ev_timer_start(loop, &p->sweep);
+	ev_timer_start(loop, &p->idle_timer);
 	return RESULT_OK;
 }
 
@@ -360,15 +362,15 @@
 {
 	ev_io_stop(p->loop, &p->router_io);
 	ev_prepare_stop(p->loop, &p->prepare);
-	ev_timer_stop(p->loop, &p->sweep);
+	ev_timer_stop(p->loop, &p->idle_timer);
 	g_hash_table_unref(p->links);
 	g_hash_table_unref(p->blocked);
-	g_ptr_array_unref(p->dirty);
+	g_ptr_array_unref(p->links_to_check);
 	zmq_close(p->router);
 	zmq_ctx_term(p->context);
 }
 
-static struct peer_link *open_link(struct peers *p, const char *address)
+static struct peer_link *find_or_open_link(struct peers *p, const char *address)
 {
 	g_autofree char *endpoint = g_strdup_printf("tcp://%s", address);
 	struct peer_link *l = g_hash_table_lookup(p->links, address);
@@ -379,20 +381,20 @@
 	l->peers = p;
 	l->address = g_strdup(address);
 	l->dealer = zmq_socket(p->context, ZMQ_DEALER);
-	set_common(l->dealer);
+	set_common_options(l->dealer);
 	/*
 	 * What the library has taken may go out at any later time. It takes
 	 * nothing without a connection, so that a request for a peer that is
 	 * gone stays ours, to be sent to another.
 	 */
 	set_int(l->dealer, ZMQ_IMMEDIATE, 1);
-	g_queue_init(&l->waiting);
+	g_queue_init(&l->queued);
 	/* A new identity each time, so that answers to the old link are lost
 	 * rather than taken for answers on this one. */
 	g_snprintf(strrchr(p->identity, '/'), 10, "/%08x", g_random_int());
 	zmq_setsockopt(l->dealer, ZMQ_ROUTING_ID, p->identity,
 		       strlen(p->identity));
-	ev_io_init(&l->io, on_link, descriptor(l->dealer), EV_READ);
+	ev_io_init(&l->io, on_link, socket_fd(l->dealer), EV_READ);
 	l->io.data = l;
 	if (zmq_connect(l->dealer, endpoint)) {
 		zmq_close(l->dealer);
@@ -401,8 +403,8 @@
 		return NULL;
 	}
 	ev_io_start(p->loop, &l->io);
-	l->opened_ms = clock_now_ms();
-	l->used_ms = l->opened_ms;
+	l->opened_at_ms = clock_now_ms();
+	l->last_used_at_ms = l->opened_at_ms;
 	g_hash_table_insert(p->links, l->address, l);
 	COUNT(peer_links_opened);
 	return l;
@@ -420,32 +422,31 @@
 }
 
 /* A link to send on, or NULL; it is looked at before the loop sleeps. */
-static struct peer_link *use_link(struct peers *p, const char *address)
+static struct peer_link *get_link(struct peers *p, const char *address)
 {
-	struct peer_link *l = open_link(p, address);
+	struct peer_link *l = find_or_open_link(p, address);
 
 	if (!l)
 		return NULL;
-	l->used_ms = clock_now_ms();
-	if (!l->dirty)
-		g_ptr_array_add(p->dirty, l);
-	l->dirty = true;
+	l->last_used_at_ms = clock_now_ms();
+	if (!l->needs_check)
+		g_ptr_array_add(p->links_to_check, l);
+	l->needs_check = true;
 	return l;
 }
 
-static void wait_for_connection(struct peer_link *l, uint64_t tag,
-				zmq_msg_t *body)
+static void enqueue(struct peer_link *l, uint64_t tag, zmq_msg_t *body)
 {
-	struct waiting_message *w = g_new(struct waiting_message, 1);
+	struct queued_message *w = g_new(struct queued_message, 1);
 
 	w->tag = tag;
 	zmq_msg_init(&w->body);
 	zmq_msg_move(&w->body, body);
 	zmq_msg_close(body);
-	g_queue_push_tail(&l->waiting, w);
+	g_queue_push_tail(&l->queued, w);
 }
 
-static int drop(zmq_msg_t *body, int result)
+static int drop_message(zmq_msg_t *body, int result)
 {
 	zmq_msg_close(body);
 	COUNT(peer_sends_dropped);
@@ -454,21 +455,22 @@
 
 static bool is_connecting(const struct peer_link *l)
 {
-	return !l->was_up && clock_now_ms() - l->opened_ms < PEER_CONNECT_MS;
+	return !l->was_connected &&
+	       clock_now_ms() - l->opened_at_ms < PEER_CONNECT_TIMEOUT_MS;
 }
 
 /* tag: 0 what may wait for a connection, however long that takes. */
-static int send_on(struct peer_link *l, uint64_t tag, zmq_msg_t *body)
+static int send_or_queue(struct peer_link *l, uint64_t tag, zmq_msg_t *body)
 {
-	if (flush_waiting(l) && hand_over(l->dealer, body)) {
-		l->was_up = true;
+	if (flush_queued(l) && pass_to_zmq(l->dealer, body)) {
+		l->was_connected = true;
 		return RESULT_OK;
 	}
 	if (tag && !is_connecting(l))
-		return drop(body, RESULT_UNREACHABLE);
-	if (l->waiting.length >= QUEUE_MESSAGES)
-		return drop(body, RESULT_OVERLOAD);
-	wait_for_connection(l, tag, body);
+		return drop_message(body, RESULT_UNREACHABLE);
+	if (l->queued.length >= QUEUE_MESSAGES)
+		return drop_message(body, RESULT_OVERLOAD);
+	enqueue(l, tag, body);
 	return RESULT_OK;
 }
 
@@ -481,11 +483,11 @@
 
 	if (g_hash_table_contains(p->blocked, address))
 		return RESULT_OK;
-	l = use_link(p, address);
+	l = get_link(p, address);
 	if (!l)
 		return RESULT_UNREACHABLE;
 	fill_body(&body, plane, data, len);
-	return send_on(l, tag, &body);
+	return send_or_queue(l, tag, &body);
 }
 
 int peers_send(struct peers *p, const char *address, enum peer_plane plane,
@@ -494,38 +496,38 @@
 	return peers_send_tagged(p, address, plane, 0, data, len);
 }
 
-static GList *find_waiting(const struct peers *p, const char *address,
-			   uint64_t tag)
+static GList *find_queued(const struct peers *p, const char *address,
+			  uint64_t tag)
 {
 	struct peer_link *l = g_hash_table_lookup(p->links, address);
 	GList *i;
 
-	for (i = l ? l->waiting.head : NULL; i; i = i->next)
-		if (((struct waiting_message *)i->data)->tag == tag)
+	for (i = l ? l->queued.head : NULL; i; i = i->next)
+		if (((struct queued_message *)i->data)->tag == tag)
 			return i;
 	return NULL;
 }
 
-bool peers_is_waiting(const struct peers *p, const char *address, uint64_t tag)
+bool peers_is_queued(const struct peers *p, const char *address, uint64_t tag)
 {
-	return find_waiting(p, address, tag);
+	return find_queued(p, address, tag);
 }
 
-bool peers_take_back(struct peers *p, const char *address, uint64_t tag)
+bool peers_cancel_queued(struct peers *p, const char *address, uint64_t tag)
 {
 	struct peer_link *l = g_hash_table_lookup(p->links, address);
-	GList *i = find_waiting(p, address, tag);
+	GList *i = find_queued(p, address, tag);
 
 	if (!i)
 		return false;
-	waiting_free(i->data);
-	g_queue_delete_link(&l->waiting, i);
+	queued_message_free(i->data);
+	g_queue_delete_link(&l->queued, i);
 	return true;
 }
 
-void peers_read(struct peers *p)
+void peers_receive(struct peers *p)
 {
-	pump_router(p);
+	receive_inbound_all(p);
 }
 
 int peers_answer(struct peers *p, const void *identity, size_t identity_len,
@@ -536,42 +538,44 @@
 
 	if (g_hash_table_contains(p->blocked, address))
 		return RESULT_OK;
-	p->router_dirty = true;
+	p->router_needs_check = true;
 	if (zmq_send(p->router, identity, identity_len,
 		     ZMQ_SNDMORE | ZMQ_DONTWAIT) < 0) {
 		COUNT(peer_sends_dropped);
 		return RESULT_OVERLOAD;
 	}
 	fill_body(&body, plane, data, len);
-	return hand_over(p->router, &body) ? RESULT_OK
-					   : drop(&body, RESULT_OVERLOAD);
+	return pass_to_zmq(p->router, &body)
+		       ? RESULT_OK
+		       : drop_message(&body, RESULT_OVERLOAD);
 }
 
-bool peers_reaches(struct peers *p, const void *identity, size_t identity_len)
+bool peers_is_connected(struct peers *p, const void *identity,
+			size_t identity_len)
 {
 	g_autofree char *address = address_of(identity, identity_len);
 
 	/* A cut for a test is one that nobody is told of. */
 	if (g_hash_table_contains(p->blocked, address))
 		return true;
-	p->router_dirty = true;
+	p->router_needs_check = true;
 	if (zmq_send(p->router, identity, identity_len,
 		     ZMQ_SNDMORE | ZMQ_DONTWAIT) < 0)
 		return zmq_errno() != EHOSTUNREACH;
-	zmq_send(p->router, PROBE, strlen(PROBE), ZMQ_DONTWAIT);
+	zmq_send(p->router, PROBE_MESSAGE, strlen(PROBE_MESSAGE), ZMQ_DONTWAIT);
 	return true;
 }
 
-void peers_replace(struct peers *p, const char *address)
+void peers_close_link(struct peers *p, const char *address)
 {
 	g_hash_table_remove(p->links, address);
 }
 
-int64_t peers_heard_ms(const struct peers *p, const char *address)
+int64_t peers_last_received_at_ms(const struct peers *p, const char *address)
 {
 	struct peer_link *l = g_hash_table_lookup(p->links, address);
 
-	return l ? l->heard_ms : 0;
+	return l ? l->last_received_at_ms : 0;
 }
 
 void peers_block(struct peers *p, const char *address, bool block)
--- a/net/peer.h
+++ b/net/peer.h
@@ -36,12 +36,12 @@
 	void *router;
 	ev_io router_io;
 	ev_prepare prepare;
-	ev_timer sweep;
+	ev_timer idle_timer;
 	GHashTable *links; /* address -> struct peer_link */
-	GPtrArray *dirty; /* links sent on since last looked at */
+	GPtrArray *links_to_check; /* links sent on since last looked at */
 	GHashTable *blocked; /* addresses cut by a test */
 	char identity[96];
-	bool router_dirty;
+	bool router_needs_check;
 	peer_handler handler;
 	void *user;
 	int64_t idle_close_ms;
@@ -63,41 +63,42 @@
 	       const void *data, size_t len);
 
 /* How long a new link may take before it counts as down. */
-#define PEER_CONNECT_MS 150
+#define PEER_CONNECT_TIMEOUT_MS 150
 
 /*
  * Send what must not come late, under a tag that is not 0. RESULT_UNREACHABLE:
  * the link is down or its queue full, and nothing was sent. While a new link
- * connects it waits here, and peers_take_back() may have it back.
+ * connects it waits here, and peers_cancel_queued() may have it back.
  */
 int peers_send_tagged(struct peers *p, const char *address,
 		      enum peer_plane plane, uint64_t tag, const void *data,
 		      size_t len);
 
 /* Whether what was sent under a tag still waits for a connection. */
-bool peers_is_waiting(const struct peers *p, const char *address, uint64_t tag);
+bool peers_is_queued(const struct peers *p, const char *address, uint64_t tag);
 
 /*
  * Take back what was sent under a tag. Returns whether it still waited, and so
  * no byte of it has left; otherwise the peer may have got it.
  */
-bool peers_take_back(struct peers *p, const char *address, uint64_t tag);
+bool peers_cancel_queued(struct peers *p, const char *address, uint64_t tag);
 
 /* Answer over the link that a message came by. */
 int peers_answer(struct peers *p, const void *identity, size_t identity_len,
 		 enum peer_plane plane, const void *data, size_t len);
 
 /* Whether a connection is there on the link that a message came by. */
-bool peers_reaches(struct peers *p, const void *identity, size_t identity_len);
+bool peers_is_connected(struct peers *p, const void *identity,
+			size_t identity_len);
 
 /* Read all that has come. */
-void peers_read(struct peers *p);
+void peers_receive(struct peers *p);
 
 /* Close a link that has gone silent; the next send opens a new one. */
-void peers_replace(struct peers *p, const char *address);
+void peers_close_link(struct peers *p, const char *address);
 
 /* When something last came over the link to a peer, 0 never. */
-int64_t peers_heard_ms(const struct peers *p, const char *address);
+int64_t peers_last_received_at_ms(const struct peers *p, const char *address);
 
 /* Tests only: drop everything to and from a peer. */
 void peers_block(struct peers *p, const char *address, bool block);
--- a/net/ahead.c
+++ b/net/pipeline.c
@@ -4,13 +4,13 @@
 #include <sys/socket.h>
 #include <http_parser.h>
 
-#include "net/ahead.h"
+#include "net/pipeline.h"
 #include "net/headers.h"
 #include "util/counters.h"
 
 /* More waits than a caller has reason to send ahead; it is left to its turn. */
-#define LOOK_BYTES (8 * 1024)
-#define MAX_AHEAD 8
+#define PEEK_BYTES (8 * 1024)
+#define MAX_PIPELINED 8
 
 struct head {
 	struct httpd_request *request;
@@ -18,11 +18,11 @@
 	GString *name;
 	GString *value;
 	bool in_value;
-	bool plain; /* asks for an answer, and carries nothing */
-	bool whole;
+	bool may_start; /* asks for an answer, and carries nothing */
+	bool complete;
 };
 
-static void end_header(struct head *h)
+static void finish_header(struct head *h)
 {
 	if (h->in_value)
 		header_add(h->request->headers, h->name->str, h->value->str);
@@ -44,7 +44,7 @@
 	struct head *h = p->data;
 
 	if (h->in_value)
-		end_header(h);
+		finish_header(h);
 	g_string_append_len(h->name, at, len);
 	return 0;
 }
@@ -62,18 +62,18 @@
 {
 	struct head *h = p->data;
 
-	end_header(h);
-	h->plain = p->method == HTTP_GET && p->http_major == 1 &&
-		   p->http_minor == 1 && p->content_length == ULLONG_MAX &&
-		   !(p->flags & F_CHUNKED) && !p->upgrade;
+	finish_header(h);
+	h->may_start = p->method == HTTP_GET && p->http_major == 1 &&
+		       p->http_minor == 1 && p->content_length == ULLONG_MAX &&
+		       !(p->flags & F_CHUNKED) && !p->upgrade;
 	return 0;
 }
 
-static int on_whole(http_parser *p)
+static int on_complete(http_parser *p)
 {
 	struct head *h = p->data;
 
-	h->whole = true;
+	h->complete = true;
 	http_parser_pause(p, 1);
 	return 0;
 }
@@ -83,12 +83,12 @@
 	.on_header_field = on_name,
 	.on_header_value = on_value,
 	.on_headers_complete = on_headers,
-	.on_message_complete = on_whole,
+	.on_message_complete = on_complete,
 };
 
 /* The first request in data; sets *len to its length. NULL: none to begin. */
-static struct httpd_request *read_head(struct httpd *d, const char *data,
-				       size_t *len)
+static struct httpd_request *parse_head(struct httpd *d, const char *data,
+					size_t *len)
 {
 	struct head h = { .request = httpd_request_new(d),
 			  .url = g_string_new(NULL),
@@ -105,7 +105,8 @@
 	r->url = g_strdup(h.url->str);
 	r->path = g_strndup(r->url, strcspn(r->url, "?"));
 	/* Decoding is libmicrohttpd's; what needs it waits for its turn. */
-	if (!h.whole || !h.plain || strchr(r->url, '%') || r->url[0] != '/') {
+	if (!h.complete || !h.may_start || strchr(r->url, '%') ||
+	    r->url[0] != '/') {
 		httpd_request_free(r);
 		r = NULL;
 	}
@@ -115,68 +116,68 @@
 	return r;
 }
 
-void ahead_look(struct httpd_connection *c)
+void pipeline_poll(struct httpd_connection *c)
 {
 	struct httpd *d = c->httpd;
-	char data[LOOK_BYTES];
+	char data[PEEK_BYTES];
 	ssize_t n = recv(c->fd, data, sizeof(data), MSG_PEEK | MSG_DONTWAIT);
 
-	if (!d->ops->may_begin || n <= 0 || n == sizeof(data))
+	if (!d->ops->may_begin_early || n <= 0 || n == sizeof(data))
 		return;
-	while (c->ahead_bytes < (size_t)n &&
-	       g_queue_get_length(&c->ahead) < MAX_AHEAD) {
-		size_t len = n - c->ahead_bytes;
+	while (c->pipelined_bytes < (size_t)n &&
+	       g_queue_get_length(&c->pipelined) < MAX_PIPELINED) {
+		size_t len = n - c->pipelined_bytes;
 		struct httpd_request *r =
-			read_head(d, data + c->ahead_bytes, &len);
+			parse_head(d, data + c->pipelined_bytes, &len);
 
 		if (!r)
 			return;
-		if (!d->ops->may_begin(d->user, r)) {
+		if (!d->ops->may_begin_early(d->user, r)) {
 			httpd_request_free(r);
 			return;
 		}
 		COUNT(requests_begun_ahead);
-		c->ahead_bytes += len;
-		r->from = c;
+		c->pipelined_bytes += len;
+		r->conn = c;
 		r->in_socket = true;
-		g_queue_push_tail(&c->ahead, r);
+		g_queue_push_tail(&c->pipelined, r);
 		d->ops->on_request(d->user, r);
 	}
 }
 
 struct header_walk {
 	const GPtrArray *headers;
-	uint32_t at;
-	bool same;
+	uint32_t index;
+	bool equal;
 };
 
-static enum MHD_Result same_header(void *user, enum MHD_ValueKind kind,
-				   const char *name, const char *value)
+static enum MHD_Result compare_header(void *user, enum MHD_ValueKind kind,
+				      const char *name, const char *value)
 {
 	struct header_walk *w = user;
 
 	(void)kind;
-	w->same = w->same && w->at + 1 < w->headers->len &&
-		  !strcasecmp(name, g_ptr_array_index(w->headers, w->at)) &&
-		  !strcmp(value ? value : "",
-			  g_ptr_array_index(w->headers, w->at + 1));
-	w->at += 2;
+	w->equal = w->equal && w->index + 1 < w->headers->len &&
+		   !strcasecmp(name, g_ptr_array_index(w->headers, w->index)) &&
+		   !strcmp(value ? value : "",
+			   g_ptr_array_index(w->headers, w->index + 1));
+	w->index += 2;
 	return MHD_YES;
 }
 
-static bool same(const struct httpd_request *begun,
-		 const struct httpd_request *r)
+static bool is_same_request(const struct httpd_request *begun,
+			    const struct httpd_request *r)
 {
 	struct header_walk w = { begun->headers, 0, true };
 
 	if (strcmp(begun->method, r->method) || strcmp(begun->url, r->url))
 		return false;
-	MHD_get_connection_values(r->connection, MHD_HEADER_KIND, same_header,
-				  &w);
-	return w.same && w.at == begun->headers->len;
+	MHD_get_connection_values(r->mhd_connection, MHD_HEADER_KIND,
+				  compare_header, &w);
+	return w.equal && w.index == begun->headers->len;
 }
 
-static void no_longer_in_socket(gpointer request, gpointer user)
+static void clear_in_socket(gpointer request, gpointer user)
 {
 	struct httpd_request *r = request;
 
@@ -184,52 +185,52 @@
 	r->in_socket = false;
 }
 
-struct httpd_request *ahead_take(struct httpd_connection *c,
-				 const struct httpd_request *r)
+struct httpd_request *pipeline_claim(struct httpd_connection *c,
+				     const struct httpd_request *r)
 {
-	struct httpd_request *begun = g_queue_peek_head(&c->ahead);
+	struct httpd_request *begun = g_queue_peek_head(&c->pipelined);
 
 	/*
 	 * One that came together with the request before it was in
 	 * libmicrohttpd's buffer by then, out of our sight. The first begun
 	 * comes after it, and its turn is not yet.
 	 */
-	if (!begun || !same(begun, r))
+	if (!begun || !is_same_request(begun, r))
 		return NULL;
-	g_queue_pop_head(&c->ahead);
+	g_queue_pop_head(&c->pipelined);
 	/*
 	 * Read from the socket now, and whatever else waited there with it.
 	 * Looked at from its start again, what comes next would otherwise be
 	 * taken for what follows these, or these be begun twice.
 	 */
 	if (begun->in_socket) {
-		g_queue_foreach(&c->ahead, no_longer_in_socket, NULL);
-		c->ahead_bytes = 0;
+		g_queue_foreach(&c->pipelined, clear_in_socket, NULL);
+		c->pipelined_bytes = 0;
 	}
 	return begun;
 }
 
-static void left(gpointer request, gpointer user)
+static void notify_caller_left(gpointer request, gpointer user)
 {
 	struct httpd_request *r = request;
 
 	(void)user;
-	if (r->httpd->ops->on_gone)
-		r->httpd->ops->on_gone(r->httpd->user, r);
+	if (r->httpd->ops->on_caller_left)
+		r->httpd->ops->on_caller_left(r->httpd->user, r);
 }
 
-void ahead_left(struct httpd_connection *c)
+void pipeline_caller_left(struct httpd_connection *c)
 {
-	g_queue_foreach(&c->ahead, left, NULL);
+	g_queue_foreach(&c->pipelined, notify_caller_left, NULL);
 }
 
-void ahead_drop(struct httpd_connection *c)
+void pipeline_drop(struct httpd_connection *c)
 {
 	struct httpd_request *r;
 
-	while ((r = g_queue_pop_head(&c->ahead))) {
+	while ((r = g_queue_pop_head(&c->pipelined))) {
 		r->httpd->ops->on_closed(r->httpd->user, r);
 		httpd_request_free(r);
 	}
-	c->ahead_bytes = 0;
+	c->pipelined_bytes = 0;
 }
--- a/net/ahead.h
+++ b/net/pipeline.h
@@ -1,5 +1,5 @@
-#ifndef NET_AHEAD_H
-#define NET_AHEAD_H
+#ifndef NET_PIPELINE_H
+#define NET_PIPELINE_H
 
 #include "net/httpd.h"
 
@@ -14,19 +14,19 @@
  */
 
 /* Look at what waits on a connection whose request is being worked on. */
-void ahead_look(struct httpd_connection *c);
+void pipeline_poll(struct httpd_connection *c);
 
 /*
  * libmicrohttpd has read the request r. Returns the one begun ahead for it, now
  * the caller's, or NULL when it is none of those.
  */
-struct httpd_request *ahead_take(struct httpd_connection *c,
-				 const struct httpd_request *r);
+struct httpd_request *pipeline_claim(struct httpd_connection *c,
+				     const struct httpd_request *r);
 
 /* The caller has left: nothing that was begun ahead is wanted any more. */
-void ahead_left(struct httpd_connection *c);
+void pipeline_caller_left(struct httpd_connection *c);
 
 /* The connection is closed: end what was begun ahead on it. */
-void ahead_drop(struct httpd_connection *c);
+void pipeline_drop(struct httpd_connection *c);
 
 #endif
--- a/net/request-msg.c
+++ b/net/request-msg.c
@@ -31,19 +31,19 @@
 	const int64_t numbers[N_NUMBERS] = {
 		(int64_t)m->origin,
 		(int64_t)m->id,
-		m->to,
+		m->to_member,
 		m->shard,
 		m->target_ms,
 		m->priority,
 		m->resend_window_ms,
-		m->sent_ms,
+		m->sent_at_ms,
 		m->deadline_ms,
 		m->flags,
 		m->status,
 		m->number,
 		m->wait_ms,
-		m->total,
-		(int64_t)m->digest,
+		m->body_length,
+		(int64_t)m->body_digest,
 		m->load,
 		m->limit,
 	};
@@ -109,19 +109,19 @@
 	int64_t *numbers[N_NUMBERS] = {
 		(int64_t *)&m->origin,
 		(int64_t *)&m->id,
-		&m->to,
+		&m->to_member,
 		&m->shard,
 		&m->target_ms,
 		&m->priority,
 		&m->resend_window_ms,
-		&m->sent_ms,
+		&m->sent_at_ms,
 		&m->deadline_ms,
 		&m->flags,
 		&m->status,
 		&m->number,
 		&m->wait_ms,
-		&m->total,
-		(int64_t *)&m->digest,
+		&m->body_length,
+		(int64_t *)&m->body_digest,
 		&m->load,
 		&m->limit,
 	};
@@ -144,7 +144,8 @@
 	if (o->type != MSGPACK_OBJECT_ARRAY || o->via.array.size != N_FIELDS)
 		return RESULT_INVALID;
 	f = o->via.array.ptr;
-	if (read_number(&f[0], &type) || type < REQ_ASK || type >= REQ_N_TYPES)
+	if (read_number(&f[0], &type) || type < REQ_SUBMIT ||
+	    type >= REQ_N_TYPES)
 		return RESULT_INVALID;
 	m->type = type;
 	if (read_numbers(m, f + 1))
--- a/net/request-msg.h
+++ b/net/request-msg.h
@@ -10,7 +10,7 @@
  * carries length and digest, so that a cut or mixed-up answer shows.
  */
 enum request_msg_type {
-	REQ_ASK = 1, /* a whole request */
+	REQ_SUBMIT = 1, /* a whole request */
 	REQ_CREDIT, /* number: bytes of the answer taken */
 	REQ_CANCEL, /* the entry wants no answer any more */
 	REQ_HEAD, /* status, headers and the first data of an answer */
@@ -20,8 +20,9 @@
 	REQ_STALLED, /* the backend server stalls; wait_ms: avoid it so long */
 	REQ_CONFIRM, /* is it still wanted? sent_ms: by the gate's clock */
 	REQ_CONFIRMED, /* it is; number: sent_ms of the question */
-	REQ_ENDING, /* the gate has said all; to: its member, key: its address */
-	REQ_HEARD, /* the entry has read that, and sends nothing more */
+	REQ_STOPPING, /* the gate has said all; to: its member, key: its address
+		       */
+	REQ_STOPPING_ACK, /* the entry has read that, and sends nothing more */
 	REQ_N_TYPES,
 };
 
@@ -29,27 +30,27 @@
 #define REQ_FLAG_KEYED 2 /* served only by the owner of the shard */
 #define REQ_FLAG_REPEATABLE 4 /* asked: may run more than once */
 #define REQ_FLAG_FIRST_SENDING 8 /* asked: its id was never sent before */
-#define REQ_FLAG_REACHED 16 /* refused: by the backend server itself */
+#define REQ_FLAG_BY_SERVER 16 /* refused: by the backend server itself */
 #define REQ_FLAG_TRACED 32 /* asked: log all that happens to it */
-#define REQ_FLAG_BEGUN 64 /* failed: a backend server has got it */
+#define REQ_FLAG_STARTED 64 /* failed: a backend server has got it */
 
 struct request_msg {
 	enum request_msg_type type;
 	uint64_t origin; /* one entry process */
 	uint64_t id; /* one attempt of it */
-	int64_t to; /* asked: the member meant */
+	int64_t to_member; /* asked: the member meant */
 	int64_t shard;
 	int64_t target_ms; /* asked: time wanted, from now */
 	int64_t priority; /* asked: 0 first */
 	int64_t resend_window_ms; /* asked: how long its id may come again */
-	int64_t sent_ms; /* asked: the entry's clock when sending */
+	int64_t sent_at_ms; /* asked: the entry's clock when sending */
 	int64_t deadline_ms; /* asked: time left then */
 	int64_t flags;
 	int64_t status;
 	int64_t number;
 	int64_t wait_ms;
-	int64_t total; /* end: length of the whole body */
-	uint64_t digest; /* end: hash of the whole body */
+	int64_t body_length; /* end: length of the whole body */
+	uint64_t body_digest; /* end: hash of the whole body */
 	int64_t load; /* what the gate has, in flight and waiting */
 	int64_t limit; /* and how much it works on at once */
 	const char *method;
--- a/node/entry-answer.c
+++ b/node/entry-answer.c
@@ -74,7 +74,7 @@
 	struct entry *e = r->entry;
 	char text[32];
 
-	if (e->node->settings.headers->fractional_retry) {
+	if (e->node->settings.headers->fractional_retry_after) {
 		g_snprintf(text, sizeof(text), "%.3f",
 			   (double)wait_ms / MS_PER_S);
 		header_add(headers, "Retry-After", text);
@@ -174,8 +174,8 @@
 
 static bool whole(const struct entry_request *r, const struct request_msg *m)
 {
-	return m->total == r->received_bytes &&
-	       m->digest == XXH64_digest(&r->digest);
+	return m->body_length == r->received_bytes &&
+	       m->body_digest == XXH64_digest(&r->digest);
 }
 
 static void take_bytes(struct entry_request *r, const struct request_msg *m)
@@ -213,7 +213,7 @@
 		COUNT(requests_unknown);
 	}
 	r->done = true;
-	httpd_end(r->http, ok);
+	httpd_stream_end(r->http, ok);
 	entry_forget_attempt(r->entry, a);
 }
 
@@ -248,8 +248,8 @@
 	} else {
 		r->winner = a;
 		r->streaming = true;
-		httpd_stream(r->http, m->status, headers, length);
-		httpd_push(r->http, m->data, m->len);
+		httpd_stream_begin(r->http, m->status, headers, length);
+		httpd_stream_write(r->http, m->data, m->len);
 		if (m->flags & REQ_FLAG_END)
 			entry_end_answer(r, a, true);
 	}
@@ -263,7 +263,7 @@
 	if (!r->streaming || r->winner != a)
 		return;
 	take_bytes(r, m);
-	httpd_push(r->http, m->data, m->len);
+	httpd_stream_write(r->http, m->data, m->len);
 	if (m->flags & REQ_FLAG_END)
 		entry_end_answer(r, a, whole(r, m));
 }
--- a/node/entry-attempt.c
+++ b/node/entry-attempt.c
@@ -36,7 +36,7 @@
 	}
 	out = g_byte_array_sized_new(512 + m->len);
 	request_msg_encode(m, out);
-	err = m->type == REQ_ASK
+	err = m->type == REQ_SUBMIT
 		      ? peers_send_tagged(&e->node->peers, a->address,
 					  PLANE_REQUEST, a->id, out->data,
 					  out->len)
@@ -54,7 +54,7 @@
 		.origin = e->origin,
 		.id = a->id,
 		.number = number,
-		.sent_ms = clock_now_ms(),
+		.sent_at_ms = clock_now_ms(),
 	};
 
 	deliver(e, a, &m);
@@ -73,7 +73,8 @@
 
 void entry_send_heard(struct entry *e, const char *address)
 {
-	struct request_msg m = { .type = REQ_HEARD, .origin = e->origin };
+	struct request_msg m = { .type = REQ_STOPPING_ACK,
+				 .origin = e->origin };
 	GByteArray *out = g_byte_array_sized_new(128);
 
 	request_msg_encode(&m, out);
@@ -87,14 +88,14 @@
 	struct entry_request *r = a->request;
 
 	if (r->plan.attempts[a->number].state == ATTEMPT_NOT_SENT &&
-	    !peers_is_waiting(&r->entry->node->peers, a->address, a->id))
+	    !peers_is_queued(&r->entry->node->peers, a->address, a->id))
 		plan_attempt_event(&r->plan, a->number, ATTEMPT_EVENT_SENT);
 }
 
 bool entry_withdraw_attempt(struct entry *e, struct attempt *a)
 {
 	entry_note_left(a);
-	if (!peers_take_back(&e->node->peers, a->address, a->id))
+	if (!peers_cancel_queued(&e->node->peers, a->address, a->id))
 		return false;
 	chooser_unanswered(&e->chooser, a->member, true, clock_now_ms());
 	chooser_not_serving(&e->chooser, a->member, clock_now_ms());
@@ -128,15 +129,15 @@
 static void fill(struct entry_request *r, int64_t member, int64_t now,
 		 struct request_msg *m)
 {
-	m->type = REQ_ASK;
+	m->type = REQ_SUBMIT;
 	m->origin = r->entry->origin;
-	m->to = member;
+	m->to_member = member;
 	m->shard = r->shard;
 	m->class_name = r->class_name;
 	m->target_ms = r->target_ms - (now - r->plan.received_at_ms);
 	m->priority = r->priority;
 	m->resend_window_ms = r->resend_window_ms;
-	m->sent_ms = now;
+	m->sent_at_ms = now;
 	m->deadline_ms = r->plan.deadline_ms - now;
 	m->flags = (r->plan.keyed ? REQ_FLAG_KEYED : 0) |
 		   (r->plan.repeatable ? REQ_FLAG_REPEATABLE : 0) |
@@ -155,7 +156,7 @@
 			    const struct attempt *a)
 {
 	if (r->plan.tries == 1)
-		MEASURE(entry_ms, (a->sent_us - r->http->read_us) / 1000.0);
+		MEASURE(entry_ms, (a->sent_us - r->http->read_at_us) / 1000.0);
 	else if (r->refused_us)
 		MEASURE(again_ms, (a->sent_us - r->refused_us) / 1000.0);
 }
@@ -179,8 +180,8 @@
 	      a->member, r->plan.keyed ? (int64_t)r->shard : -1, v->load,
 	      v->limit, v->latency_ms,
 	      v->last_answer_at_ms ? now - v->last_answer_at_ms : -1,
-	      (a->sent_us - r->http->read_us) / 1000, r->plan.deadline_ms - now,
-	      a->hedge ? "true" : "false");
+	      (a->sent_us - r->http->read_at_us) / 1000,
+	      r->plan.deadline_ms - now, a->hedge ? "true" : "false");
 }
 
 int entry_send_attempt(struct entry_request *r, int64_t member, bool hedge)
--- a/node/entry.c
+++ b/node/entry.c
@@ -127,7 +127,7 @@
 		chooser_refused(&e->chooser, r->last_member, AVOID_MS, now);
 	entry_step(r,
 		   plan_refused(&r->plan, number, m->number == RESULT_NOT_OWNER,
-				m->flags & REQ_FLAG_REACHED, m->wait_ms,
+				m->flags & REQ_FLAG_BY_SERVER, m->wait_ms,
 				entry_budget(e, r->service),
 				g_rand_double(e->rand), now));
 }
@@ -152,7 +152,7 @@
 /* What a gate says of a request that it does not answer and that may have run. */
 static enum attempt_event failure(const struct request_msg *m)
 {
-	if (!(m->flags & REQ_FLAG_BEGUN))
+	if (!(m->flags & REQ_FLAG_STARTED))
 		return ATTEMPT_EVENT_IN_DOUBT;
 	if (m->number == RESULT_TIMEOUT)
 		return ATTEMPT_EVENT_SERVER_LATE;
@@ -164,8 +164,9 @@
 static void on_gate_ending(struct entry *e, const struct request_msg *m)
 {
 	/* One that has left by the log already is no member any more. */
-	if (m->to)
-		chooser_gate_view(&e->chooser, m->to)->stop_announced = true;
+	if (m->to_member)
+		chooser_gate_view(&e->chooser, m->to_member)->stop_announced =
+			true;
 	entry_send_heard(e, m->key);
 }
 
@@ -178,10 +179,11 @@
 	uint32_t number;
 
 	if (m->type == REQ_STALLED) {
-		chooser_refused(&e->chooser, m->to, m->wait_ms, clock_now_ms());
+		chooser_refused(&e->chooser, m->to_member, m->wait_ms,
+				clock_now_ms());
 		return;
 	}
-	if (m->type == REQ_ENDING) {
+	if (m->type == REQ_STOPPING) {
 		on_gate_ending(e, m);
 		return;
 	}
@@ -199,7 +201,7 @@
 	note_answer(e, a, m);
 	switch (m->type) {
 	case REQ_CONFIRM:
-		entry_send_confirmed(e, a, m->sent_ms);
+		entry_send_confirmed(e, a, m->sent_at_ms);
 		break;
 	case REQ_HEAD:
 		entry_take_head(r, a, m);
@@ -305,21 +307,21 @@
 {
 	struct entry *e = r->entry;
 	double age_ms = (clock_now_us() - a->sent_us) / 1000.0;
-	int64_t heard = peers_heard_ms(&e->node->peers, a->address);
+	int64_t heard = peers_last_received_at_ms(&e->node->peers, a->address);
 	const struct gate_view *v = chooser_gate_view(&e->chooser, a->member);
 
 	if (r->winner == a)
 		return;
 	entry_note_left(a);
 	if (r->plan.attempts[a->number].state == ATTEMPT_NOT_SENT &&
-	    (age_ms > PEER_CONNECT_MS || now >= r->plan.deadline_ms)) {
+	    (age_ms > PEER_CONNECT_TIMEOUT_MS || now >= r->plan.deadline_ms)) {
 		withdraw(r, a);
 		return;
 	}
 	if (now >= r->plan.deadline_ms) {
 		if (a->member != e->node->member.self_id &&
 		    now - heard > SILENT_LINK_MS)
-			peers_replace(&e->node->peers, a->address);
+			peers_close_link(&e->node->peers, a->address);
 		/* A gate that answers others is slow, not silent. */
 		give_up_attempt(r, a, ATTEMPT_EVENT_TIMEOUT, RESULT_TIMEOUT,
 				now - v->last_answer_at_ms > SILENT_GATE_MS);
@@ -428,7 +430,7 @@
  * One that may not be repeated waits for its turn: should the connection end
  * before, the caller takes it for never read and sends it again.
  */
-static bool may_begin(void *user, const struct httpd_request *http)
+static bool may_begin_early(void *user, const struct httpd_request *http)
 {
 	struct entry *e = user;
 
@@ -456,7 +458,7 @@
 	 * A stopping process ends within seconds, and what it took up now
 	 * would be cut then, though a server works on it.
 	 */
-	if (e->httpd.closed) {
+	if (e->httpd.stopped_listening) {
 		entry_reply_not_run(r, "this node is stopping\n");
 		return;
 	}
@@ -484,7 +486,7 @@
 	      ",\"open\":%u,\"tries\":%u,\"behind\":%u",
 	      event_text(r->class_name), r->plan.repeatable ? "true" : "false",
 	      clock_now_ms() - r->plan.received_at_ms, plan_n_open(&r->plan),
-	      r->plan.tries, httpd_behind(http));
+	      r->plan.tries, httpd_n_pipelined(http));
 	r->done = true;
 	entry_cancel_others(r, NULL);
 }
@@ -514,7 +516,7 @@
 
 	if (!r || !r->winner)
 		return;
-	taken = r->received_bytes - (int64_t)httpd_pending(http);
+	taken = r->received_bytes - (int64_t)httpd_unsent_bytes(http);
 	if (taken - r->credited_bytes < CREDIT_BYTES)
 		return;
 	entry_send_credit(e, r->winner, taken - r->credited_bytes);
@@ -523,8 +525,8 @@
 
 static const struct httpd_ops entry_ops = {
 	.on_request = on_request,
-	.on_gone = on_gone,
-	.may_begin = may_begin,
+	.on_caller_left = on_gone,
+	.may_begin_early = may_begin_early,
 	.on_closed = on_closed,
 	.on_drained = on_drained,
 };
@@ -564,7 +566,7 @@
 	e->version = f->configuration_version;
 	e->httpd.max_body_bytes =
 		MAX(e->node->settings.max_body_bytes, l->max_body_bytes);
-	if (httpd_accept_heads(&e->httpd, l->max_header_bytes))
+	if (httpd_raise_head_limit(&e->httpd, l->max_header_bytes))
 		g_warning("cannot accept heads of %" PRId64 " bytes",
 			  l->max_header_bytes);
 }
@@ -591,7 +593,7 @@
 
 void entry_close(struct entry *e)
 {
-	httpd_close(&e->httpd);
+	httpd_stop_listening(&e->httpd);
 }
 
 /* Nothing more can be heard of what is open. */
@@ -629,6 +631,6 @@
 
 bool entry_idle(const struct entry *e)
 {
-	return !e->requests->len &&
-	       (!e->httpd.closed || httpd_quiet(&e->httpd));
+	return !e->requests->len && (!e->httpd.stopped_listening ||
+				     httpd_has_no_connections(&e->httpd));
 }
--- a/node/gate-answer.c
+++ b/node/gate-answer.c
@@ -51,8 +51,8 @@
 	m.len = r->pending->len;
 	if (end) {
 		m.flags |= REQ_FLAG_END;
-		m.total = r->total;
-		m.digest = XXH64_digest(&r->digest);
+		m.body_length = r->total;
+		m.body_digest = XXH64_digest(&r->digest);
 	}
 	r->uncredited += r->pending->len;
 	r->head_sent = true;
@@ -89,7 +89,7 @@
 
 static double connect_ms(const struct gate_request *r)
 {
-	return (r->fetch.sent_us - r->started_us) / 1000.0;
+	return (r->fetch.sent_at_us - r->started_us) / 1000.0;
 }
 
 static void on_head(struct fetch *f)
--- a/node/gate-confirm.c
+++ b/node/gate-confirm.c
@@ -25,7 +25,7 @@
 	struct request_msg m = { .type = REQ_CONFIRM };
 
 	r->asked_ms = clock_now_ms();
-	m.sent_ms = r->asked_ms;
+	m.sent_at_ms = r->asked_ms;
 	COUNT(gate_confirms);
 	gate_emit_for(r, &m);
 }
--- a/node/gate-cut.c
+++ b/node/gate-cut.c
@@ -24,7 +24,7 @@
 	if (!r->identity || clock_now_ms() - r->arrived_ms < FRESH_MS)
 		return true;
 	identity = g_bytes_get_data(r->identity, &len);
-	return peers_reaches(&r->gate->node->peers, identity, len);
+	return peers_is_connected(&r->gate->node->peers, identity, len);
 }
 
 bool gate_set_aside(struct gate_request *r)
--- a/node/gate-entries.c
+++ b/node/gate-entries.c
@@ -42,7 +42,7 @@
 	if (o)
 		return o;
 	o = g_new0(struct gate_origin, 1);
-	delay_init(&o->delay, m->sent_ms, clock_now_ms());
+	delay_init(&o->delay, m->sent_at_ms, clock_now_ms());
 	recent_add(&g->origins, m->origin, 0, o);
 	return o;
 }
@@ -53,7 +53,7 @@
  */
 int64_t gate_delay_ms(struct gate *g, const struct request_msg *m)
 {
-	return delay_update(&origin_of(g, m)->delay, m->sent_ms,
+	return delay_update(&origin_of(g, m)->delay, m->sent_at_ms,
 			    clock_now_ms());
 }
 
--- a/node/gate-ids.c
+++ b/node/gate-ids.c
@@ -29,7 +29,7 @@
 		m.status = e->status;
 		m.data = g_bytes_get_data(e->answer, &len);
 		m.len = len;
-		m.total = len;
+		m.body_length = len;
 		header_set(headers, gate_names(r)->replayed, "true");
 		if (e->content_type)
 			header_add(headers, "Content-Type", e->content_type);
@@ -37,7 +37,7 @@
 		header_set(headers, gate_names(r)->outcome,
 			   OUTCOME_ALREADY_RUN);
 	}
-	m.digest = XXH64(m.data, m.len, 0);
+	m.body_digest = XXH64(m.data, m.len, 0);
 	gate_emit_for(r, &m);
 	g_ptr_array_unref(headers);
 	gate_request_free(r);
--- a/node/gate-stop.c
+++ b/node/gate-stop.c
@@ -51,8 +51,8 @@
 
 static void say_ending(struct gate *g, GBytes *identity)
 {
-	struct request_msg m = { .type = REQ_ENDING,
-				 .to = g->node->member.self_id,
+	struct request_msg m = { .type = REQ_STOPPING,
+				 .to_member = g->node->member.self_id,
 				 .key = g->node->settings.peer_address };
 
 	gate_emit(g, identity, &m);
@@ -112,7 +112,7 @@
 
 	g->draining = true;
 	/* What has come and was not read yet is refused as well. */
-	peers_read(&g->node->peers);
+	peers_receive(&g->node->peers);
 	refuse_unbegun(g, true);
 	while (g_hash_table_iter_init(&it, g->requests),
 	       g_hash_table_iter_next(&it, &key, NULL)) {
--- a/node/gate.c
+++ b/node/gate.c
@@ -194,7 +194,7 @@
 void gate_not_connected(struct gate *g, const struct fetch *f)
 {
 	g->connect_failures++;
-	g->connect_refusals += f->refused;
+	g->connect_refusals += f->connection_refused;
 }
 
 void gate_connected(struct gate *g)
@@ -267,7 +267,7 @@
 	if (err)
 		COUNT(gate_answers_lost);
 	g_byte_array_unref(out);
-	gate_note_said(g, identity, m->type == REQ_ENDING && !err);
+	gate_note_said(g, identity, m->type == REQ_STOPPING && !err);
 }
 
 void gate_emit_for(struct gate_request *r, struct request_msg *m)
@@ -313,7 +313,7 @@
 {
 	struct request_msg m = { .type = REQ_REFUSED,
 				 .number = result,
-				 .flags = r->shed ? REQ_FLAG_REACHED : 0,
+				 .flags = r->shed ? REQ_FLAG_BY_SERVER : 0,
 				 .wait_ms = admission_retry_after_ms(
 					 &r->gate->load,
 					 g_rand_double(r->gate->rand),
@@ -337,7 +337,7 @@
 	struct request_msg m = { .type = REQ_FAILED,
 				 .number = result,
 				 .flags = r->state == GATE_RUNNING
-						  ? REQ_FLAG_BEGUN
+						  ? REQ_FLAG_STARTED
 						  : 0 };
 
 	EVENT(gate_failed, r->attempt_id,
@@ -392,7 +392,7 @@
 
 	header_set(r->headers, names->deadline_ms, NULL);
 	header_add_int(r->headers, names->deadline_ms, left_ms);
-	header_set(r->headers, names->expect_life, id[0] ? id : NULL);
+	header_set(r->headers, names->expect_instance, id[0] ? id : NULL);
 	if (!r->keyed)
 		return;
 	header_add_int(r->headers, names->fence, fence);
@@ -487,7 +487,7 @@
 void gate_refill(struct gate *g)
 {
 	/* What takes a request back may have come, and goes first. */
-	peers_read(&g->node->peers);
+	peers_receive(&g->node->peers);
 	gate_pump(g);
 }
 
@@ -524,7 +524,7 @@
 	r->repeatable = m->flags & REQ_FLAG_REPEATABLE;
 	r->first_sending = m->flags & REQ_FLAG_FIRST_SENDING;
 	r->traced = m->flags & REQ_FLAG_TRACED;
-	r->sent_ms = m->sent_ms;
+	r->sent_ms = m->sent_at_ms;
 	r->resend_window_ms = m->resend_window_ms;
 	r->target_ms = m->target_ms;
 	r->priority = m->priority;
@@ -584,7 +584,8 @@
 
 	COUNT(gate_received);
 	gate_follow_configuration(g);
-	if (m->to != g->node->member.self_id || !g->backend_server.announced) {
+	if (m->to_member != g->node->member.self_id ||
+	    !g->backend_server.announced) {
 		GBytes *id = identity ? g_bytes_new(identity, len) : NULL;
 
 		COUNT(gate_refused_not_owner);
@@ -614,11 +615,11 @@
 	struct gate_request key = { .origin = m->origin, .id = m->id };
 	struct gate_request *r = g_hash_table_lookup(g->requests, &key);
 
-	if (m->type == REQ_HEARD) {
+	if (m->type == REQ_STOPPING_ACK) {
 		gate_on_heard(g, identity, len);
 		return;
 	}
-	if (m->type == REQ_ASK) {
+	if (m->type == REQ_SUBMIT) {
 		if (!r)
 			on_ask(g, identity, len, m);
 		return;
--- a/node/granter.c
+++ b/node/granter.c
@@ -77,9 +77,9 @@
 	x->n_busy[l->call.kind]--;
 	g_clear_pointer(&l->body, g_free);
 	/* A connection that ended or could not be opened: is it the same life? */
-	if (f->unopened || (result && result != RESULT_TIMEOUT))
+	if (f->connect_expired || (result && result != RESULT_TIMEOUT))
 		x->await_beat = true;
-	if (result == RESULT_UNREACHABLE && f->refused)
+	if (result == RESULT_UNREACHABLE && f->connection_refused)
 		gate_not_connected(&x->node->gate, f);
 	if (outcome == GRANT_FENCED)
 		x->node->member.log_read_due = true;
@@ -132,8 +132,8 @@
 		    give ? GIVE_TIMEOUT_MS : TAKE_BACK_TIMEOUT_MS, false,
 		    &lane_ops, l);
 	if (give)
-		fetch_bound(&l->fetch, l->call.send_by_ms,
-			    x->heard_ms + OPEN_AFTER_BEAT_MS);
+		fetch_set_deadlines(&l->fetch, l->call.send_by_ms,
+				    x->heard_ms + OPEN_AFTER_BEAT_MS);
 	g_ptr_array_unref(headers);
 }
 
--- a/node/node.c
+++ b/node/node.c
@@ -279,7 +279,7 @@
 {
 	int64_t next = n->member.fleet.applied + 1;
 
-	if (!n->log.trimmed)
+	if (!n->log.scanning)
 		n->log.next = MAX(n->log.next, next);
 	else if (member_is_current(&n->member) ||
 		 (!n->log.ops->recover && next >= n->log.scan_from))
@@ -315,8 +315,9 @@
 		g_info("malformed request message from %s", from->address);
 		return;
 	}
-	if (m.type == REQ_ASK || m.type == REQ_CREDIT || m.type == REQ_CANCEL ||
-	    m.type == REQ_CONFIRMED || m.type == REQ_HEARD)
+	if (m.type == REQ_SUBMIT || m.type == REQ_CREDIT ||
+	    m.type == REQ_CANCEL || m.type == REQ_CONFIRMED ||
+	    m.type == REQ_STOPPING_ACK)
 		gate_on_message(&n->gate, from->identity, from->identity_len,
 				&m);
 	else
@@ -345,7 +346,7 @@
 	struct member_msg msg;
 	GByteArray *out;
 
-	if ((log_client_up(&n->log) && !n->log.trimmed) ||
+	if ((log_client_up(&n->log) && !n->log.scanning) ||
 	    !n->settings.n_seeds || now < n->next_seed_ms)
 		return;
 	n->next_seed_ms = now + SEED_EVERY_MS;
--- a/node/streams.c
+++ b/node/streams.c
@@ -83,7 +83,7 @@
 	      ",\"replayed\":%" PRId64 ",\"ms\":%" PRId64,
 	      records->len, first ? first->offset : -1, n->log.scan_from,
 	      before, snapshot, n->member.fleet.applied - from,
-	      clock_now_ms() - n->log.read_sent_ms);
+	      clock_now_ms() - n->log.read_sent_at_ms);
 	log_scan_clear(&n->scan);
 	log_client_seek(&n->log, n->member.fleet.applied + 1);
 }
@@ -93,7 +93,7 @@
 {
 	struct node *n = user;
 
-	if (n->log.trimmed) {
+	if (n->log.scanning) {
 		log_scan_add(&n->scan, offset, id, record);
 		return;
 	}
@@ -110,7 +110,7 @@
 {
 	struct node *n = user;
 
-	if (n->log.trimmed) {
+	if (n->log.scanning) {
 		/* All there is was read, and without a snapshot it is enough
 		 * only if it begins where we stand. */
 		int64_t end = n->log.scan_from;
@@ -155,7 +155,7 @@
 	struct node *n = user;
 
 	n->operators.next = offset + 1;
-	if (n->operators.trimmed) {
+	if (n->operators.scanning) {
 		if (published_take(&n->published_newest, id, record))
 			n->newest_until = offset;
 		return;
@@ -169,7 +169,7 @@
 	struct node *n = user;
 
 	(void)sent_ms;
-	if (n->operators.trimmed) {
+	if (n->operators.scanning) {
 		/* Of what was removed meanwhile, the newest records tell
 		 * nothing but that it is not among them. */
 		if (published_replace(&n->published, &n->published_newest))
@@ -201,14 +201,14 @@
 	struct node *n = user;
 
 	if (n->operators.ops && n->reads_operators)
-		log_client_is_back(&n->operators);
+		log_client_on_other_stream_up(&n->operators);
 }
 
 static void on_operators_regained(void *user)
 {
 	struct node *n = user;
 
-	log_client_is_back(&n->log);
+	log_client_on_other_stream_up(&n->log);
 }
 
 static const struct log_handlers operator_handlers = {
@@ -251,7 +251,7 @@
 	if (reads)
 		log_client_read_now(&n->operators);
 	else
-		log_client_rest(&n->operators);
+		log_client_pause(&n->operators);
 }
 
 /* Adjust the waits, and begin reads anew that others know to have missed news. */
@@ -262,7 +262,7 @@
 
 	if (m->log_read_due ||
 	    (m->behind_since_ms && now - m->behind_since_ms > DEAF_MS))
-		log_client_renew(&n->log);
+		log_client_restart_read(&n->log);
 	m->log_read_due = false;
 	if (now >= n->next_wait_ms) {
 		n->next_wait_ms = now + WAIT_EVERY_MS;
@@ -288,8 +288,8 @@
 	 */
 	if (m->published_source > m->fleet.source_offset &&
 	    now - m->published_since_ms > DEAF_MS &&
-	    now - n->log.read_sent_ms > DEAF_MS)
-		log_client_renew(&n->log);
+	    now - n->log.read_sent_at_ms > DEAF_MS)
+		log_client_restart_read(&n->log);
 	if (!n->operators.ops)
 		return;
 	if (m->fleet.source_offset < n->operators.next || !n->reads_operators)
@@ -297,7 +297,7 @@
 	else if (!n->source_ahead_ms)
 		n->source_ahead_ms = now;
 	else if (now - n->source_ahead_ms > DEAF_MS + n->operators.gather_ms)
-		log_client_renew(&n->operators);
+		log_client_restart_read(&n->operators);
 }
 
 /* Begin to read. */
--- a/settings/settings.c
+++ b/settings/settings.c
@@ -180,7 +180,7 @@
 		return;
 	}
 	s->interface = INTERFACE_OWN;
-	s->headers = &headers_own;
+	s->headers = &headers_default;
 	if (strcmp(name, "own"))
 		json_check_fail(c, "$.interface", "must be own or platform");
 }
--- a/t/backend-standin.c
+++ b/t/backend-standin.c
@@ -62,7 +62,7 @@
 
 static void count_run(struct httpd_request *r)
 {
-	const char *id = httpd_header(r, headers_own.idempotency);
+	const char *id = httpd_header(r, headers_default.idempotency);
 	int *runs;
 
 	n_served++;
@@ -96,8 +96,8 @@
 
 	if (j->drop) {
 		/* The work is done; the connection closes without a word. */
-		httpd_stream(r, 200, NULL, 10);
-		httpd_end(r, false);
+		httpd_stream_begin(r, 200, NULL, 10);
+		httpd_stream_end(r, false);
 		return;
 	}
 	if (bytes) {
@@ -171,8 +171,8 @@
 
 static bool fence_is_old(struct httpd_request *r)
 {
-	const char *text = httpd_header(r, headers_own.fence);
-	const char *shard = httpd_header(r, headers_own.shard);
+	const char *text = httpd_header(r, headers_default.fence);
+	const char *shard = httpd_header(r, headers_default.shard);
 	int64_t fence = text ? g_ascii_strtoll(text, NULL, 10) : 0;
 	int64_t *seen;
 
@@ -195,7 +195,7 @@
 {
 	GPtrArray *headers = headers_new();
 
-	header_add(headers, headers_own.not_run, "true");
+	header_add(headers, headers_default.not_run, "true");
 	httpd_reply(r, 503, headers, "shed\n", 5);
 	g_ptr_array_unref(headers);
 	n_shed++;
--- a/t/load.c
+++ b/t/load.c
@@ -55,7 +55,7 @@
 {
 	struct call *c = f->user;
 	const char *outcome =
-		header_find(f->answer_headers, headers_own.outcome);
+		header_find(f->answer_headers, headers_default.outcome);
 	const char *name = "failed";
 
 	n_open--;
@@ -98,7 +98,7 @@
 	if (with_ids) {
 		g_snprintf(c->id, sizeof(c->id), "id-%08x-%" G_GUINT64_FORMAT,
 			   g_random_int(), (guint64)n_sent);
-		header_add(headers, headers_own.idempotency, c->id);
+		header_add(headers, headers_default.idempotency, c->id);
 	}
 	c->began_us = clock_now_us();
 	n_sent++;
--- a/t/platform-server.c
+++ b/t/platform-server.c
@@ -325,8 +325,8 @@
 	header_add(headers, headers_platform.attempt_id,
 		   httpd_header(r, headers_platform.attempt_id));
 	header_add(headers, headers_platform.signature, "ab.cd");
-	httpd_stream(r, 200, headers, (int64_t)2 * STALL_BYTES);
-	httpd_push(r, half, STALL_BYTES);
+	httpd_stream_begin(r, 200, headers, (int64_t)2 * STALL_BYTES);
+	httpd_stream_write(r, half, STALL_BYTES);
 	g_ptr_array_unref(headers);
 }
 
@@ -371,8 +371,8 @@
 	n_served++;
 	if (lose > 0) {
 		lose--;
-		httpd_stream(r, 200, NULL, 10);
-		httpd_end(r, false);
+		httpd_stream_begin(r, 200, NULL, 10);
+		httpd_stream_end(r, false);
 		return;
 	}
 	if (stall > 0) {
@@ -386,7 +386,7 @@
 static void on_work(struct httpd_request *r)
 {
 	const char *key = httpd_header(r, "X-Mesh-Shard-Key");
-	const char *expect = httpd_header(r, headers_platform.expect_life);
+	const char *expect = httpd_header(r, headers_platform.expect_instance);
 	const char *sent = httpd_header(r, headers_platform.attempt_id);
 	struct job *j;
 
@@ -651,7 +651,7 @@
 }
 
 static const struct httpd_ops ops = { .on_request = on_request,
-				      .on_gone = on_gone,
+				      .on_caller_left = on_gone,
 				      .on_closed = on_gone };
 
 int main(int argc, char **argv)
@@ -697,7 +697,7 @@
 		fprintf(stderr, "cannot listen on %s\n", listen_address);
 		return 1;
 	}
-	httpd_accept_heads(&httpd, MAX_HEAD);
+	httpd_raise_head_limit(&httpd, MAX_HEAD);
 	ev_init(&beat_timer, on_beat);
 	beat_in(0);
 	ev_run(loop, 0);
--- a/t/platform-store.c
+++ b/t/platform-store.c
@@ -187,8 +187,8 @@
 
 static void lose_answer(struct httpd_request *r)
 {
-	httpd_stream(r, 200, NULL, 10);
-	httpd_end(r, false);
+	httpd_stream_begin(r, 200, NULL, 10);
+	httpd_stream_end(r, false);
 }
 
 static void on_append(struct httpd_request *r, struct topic *t)
@@ -324,7 +324,7 @@
 		w->began_ms = clock_now_ms();
 		r->user = w;
 		g_ptr_array_add(slow, w);
-		httpd_stream(r, 200, NULL, w->len);
+		httpd_stream_begin(r, 200, NULL, w->len);
 	} else {
 		httpd_reply(r, 200, NULL, text, strlen(text));
 	}
@@ -352,12 +352,12 @@
 			MIN(w->len * (now - w->began_ms) / MAX(trickle_ms, 1),
 			    w->len);
 
-		httpd_push(w->r, w->text + w->sent, upto - w->sent);
+		httpd_stream_write(w->r, w->text + w->sent, upto - w->sent);
 		w->sent = upto;
 		if (upto < w->len)
 			continue;
 		w->r->user = NULL;
-		httpd_end(w->r, true);
+		httpd_stream_end(w->r, true);
 		trickle_free(w);
 	}
 }
--- a/t/test-log-client.c
+++ b/t/test-log-client.c
@@ -38,8 +38,8 @@
 	log_client_recover_first(&c);
 	ev_run(loop, EVRUN_ONCE);
 	g_assert_cmpuint(n_recovers, ==, 1);
-	c.read_sent_ms = clock_now_ms() - 60000;
-	log_client_renew(&c);
+	c.read_sent_at_ms = clock_now_ms() - 60000;
+	log_client_restart_read(&c);
 	g_assert_cmpuint(n_recovers, ==, 1);
 	log_client_finish(&c);
 }
@@ -131,7 +131,7 @@
 	ev_run(loop, EVRUN_ONCE);
 	log_client_read_done(&c, &away);
 	before = n_reads;
-	log_client_is_back(&c);
+	log_client_on_other_stream_up(&c);
 	g_assert_cmpuint(n_reads, ==, before + 1);
 	n_regained = 0;
 	read_brings(&c, 0);
--- a/t/test-net.c
+++ b/t/test-net.c
@@ -22,7 +22,7 @@
 {
 	GByteArray *out = g_byte_array_new();
 	GPtrArray *headers = headers_new();
-	struct request_msg m = { .type = REQ_ASK,
+	struct request_msg m = { .type = REQ_SUBMIT,
 				 .method = "POST",
 				 .url = "/bookings",
 				 .key = "k",
@@ -138,7 +138,7 @@
 static void fake_append(struct log_client *c, struct log_append *a)
 {
 	(void)c;
-	log_client_appended(a, RESULT_CUT, true);
+	log_client_append_done(a, RESULT_CUT, true);
 }
 
 static void ignore_tail(void *user, int64_t sent_ms)
@@ -346,9 +346,9 @@
 	while (!heard.identity)
 		ev_run(loop, EVRUN_ONCE);
 	id = g_bytes_get_data(heard.identity, &len);
-	g_assert_true(peers_reaches(&gate, id, len));
+	g_assert_true(peers_is_connected(&gate, id, len));
 	peers_finish(&entry);
-	while (peers_reaches(&gate, id, len))
+	while (peers_is_connected(&gate, id, len))
 		ev_run(loop, EVRUN_NOWAIT);
 	g_bytes_unref(heard.identity);
 	peers_finish(&gate);
@@ -387,21 +387,21 @@
 			==, RESULT_OK);
 	g_assert_cmpint(peers_send(&p, OTHER_ADDRESS, PLANE_REQUEST, "c", 1),
 			==, RESULT_OK);
-	g_assert_true(peers_is_waiting(&p, OTHER_ADDRESS, 1));
-	g_assert_true(peers_take_back(&p, OTHER_ADDRESS, 1));
-	g_assert_false(peers_take_back(&p, OTHER_ADDRESS, 1));
+	g_assert_true(peers_is_queued(&p, OTHER_ADDRESS, 1));
+	g_assert_true(peers_cancel_queued(&p, OTHER_ADDRESS, 1));
+	g_assert_false(peers_cancel_queued(&p, OTHER_ADDRESS, 1));
 	g_assert_cmpint(peers_init(&other, loop, OTHER_ADDRESS, on_peer_message,
 				   got),
 			==, RESULT_OK);
 	while (got->len < 2)
 		ev_run(loop, EVRUN_ONCE);
 	g_assert_cmpstr(got->str, ==, "bc");
-	g_assert_false(peers_take_back(&p, OTHER_ADDRESS, 2));
+	g_assert_false(peers_cancel_queued(&p, OTHER_ADDRESS, 2));
 	peers_finish(&other);
 	/* It has ended: known as soon as the library has noticed. */
 	while (!peers_send_tagged(&p, OTHER_ADDRESS, PLANE_REQUEST, 3, "d", 1))
 		ev_run(loop, EVRUN_NOWAIT);
-	g_assert_false(peers_is_waiting(&p, OTHER_ADDRESS, 3));
+	g_assert_false(peers_is_queued(&p, OTHER_ADDRESS, 3));
 	peers_finish(&p);
 	g_string_free(got, TRUE);
 }
