--- a/net/request-msg.c
+++ b/net/request-msg.c
@@ -31,7 +31,7 @@
 	const int64_t numbers[N_NUMBERS] = {
 		(int64_t)m->origin,
 		(int64_t)m->id,
-		m->to_member,
+		m->gate_member,
 		m->shard,
 		m->target_ms,
 		m->priority,
@@ -109,7 +109,7 @@
 	int64_t *numbers[N_NUMBERS] = {
 		(int64_t *)&m->origin,
 		(int64_t *)&m->id,
-		&m->to_member,
+		&m->gate_member,
 		&m->shard,
 		&m->target_ms,
 		&m->priority,
--- a/net/request-msg.h
+++ b/net/request-msg.h
@@ -38,7 +38,7 @@
 	enum request_msg_type type;
 	uint64_t origin; /* one entry process */
 	uint64_t id; /* one attempt of it */
-	int64_t to_member; /* asked: the member meant */
+	int64_t gate_member; /* asked: the member meant */
 	int64_t shard;
 	int64_t target_ms; /* asked: time wanted, from now */
 	int64_t priority; /* asked: 0 first */
--- a/node/entry-attempt.c
+++ b/node/entry-attempt.c
@@ -131,7 +131,7 @@
 {
 	m->type = REQ_SUBMIT;
 	m->origin = r->entry->origin;
-	m->to_member = member;
+	m->gate_member = member;
 	m->shard = r->shard;
 	m->class_name = r->class_name;
 	m->target_ms = r->target_ms - (now - r->plan.received_at_ms);
--- a/node/entry.c
+++ b/node/entry.c
@@ -164,8 +164,8 @@
 static void on_gate_ending(struct entry *e, const struct request_msg *m)
 {
 	/* One that has left by the log already is no member any more. */
-	if (m->to_member)
-		chooser_gate_view(&e->chooser, m->to_member)->stop_announced =
+	if (m->gate_member)
+		chooser_gate_view(&e->chooser, m->gate_member)->stop_announced =
 			true;
 	entry_send_heard(e, m->key);
 }
@@ -179,7 +179,7 @@
 	uint32_t number;
 
 	if (m->type == REQ_STALLED) {
-		chooser_refused(&e->chooser, m->to_member, m->wait_ms,
+		chooser_refused(&e->chooser, m->gate_member, m->wait_ms,
 				clock_now_ms());
 		return;
 	}
--- a/node/gate-health.c
+++ b/node/gate-health.c
@@ -34,7 +34,7 @@
 static void note_stall(struct gate *g, int64_t now)
 {
 	struct request_msg m = { .type = REQ_STALLED,
-				 .to_member = g->node->member.self_id,
+				 .gate_member = g->node->member.self_id,
 				 .wait_ms = STALL_NOTE_MS };
 	GHashTableIter it;
 	gpointer identity, heard;
--- a/node/gate-stop.c
+++ b/node/gate-stop.c
@@ -52,7 +52,7 @@
 static void say_ending(struct gate *g, GBytes *identity)
 {
 	struct request_msg m = { .type = REQ_STOPPING,
-				 .to_member = g->node->member.self_id,
+				 .gate_member = g->node->member.self_id,
 				 .key = g->node->settings.peer_address };
 
 	gate_emit(g, identity, &m);
--- a/node/gate.c
+++ b/node/gate.c
@@ -584,7 +584,7 @@
 
 	COUNT(gate_received);
 	gate_follow_configuration(g);
-	if (m->to_member != g->node->member.self_id ||
+	if (m->gate_member != g->node->member.self_id ||
 	    !g->backend_server.announced) {
 		GBytes *id = identity ? g_bytes_new(identity, len) : NULL;
 
