--- a/net/address.h
+++ b/net/address.h
@@ -4,8 +4,9 @@
 #include <netinet/in.h>
 
 /*
- * Read "127.0.0.1:8080": an IPv4 number and a port, never a name, since hosts
- * are met by IP number. Returns RESULT_OK or RESULT_INVALID.
+ * Parse "127.0.0.1:8080", a numeric IPv4 address and a port, into out. Host
+ * names are not resolved, since hosts are addressed by IP number. Returns
+ * RESULT_OK or RESULT_INVALID.
  */
 int address_parse(const char *text, struct sockaddr_in *out);
 
--- a/net/clock.h
+++ b/net/clock.h
@@ -4,12 +4,13 @@
 #include <stdint.h>
 
 /*
- * Milliseconds of CLOCK_BOOTTIME, which goes on while a host is suspended: a
- * lease must not survive a suspension unnoticed.
+ * Milliseconds of CLOCK_BOOTTIME. Unlike CLOCK_MONOTONIC it also counts while
+ * the host is suspended: otherwise a lease that expires during a suspension
+ * would still look valid after it.
  */
 int64_t clock_now_ms(void);
 
-/* The same in microseconds, for latencies. */
+/* Microseconds of the same clock, for latencies. */
 int64_t clock_now_us(void);
 
 #endif
--- a/net/fetch.c
+++ b/net/fetch.c
@@ -13,7 +13,7 @@
 #define CONNECT_TIMEOUT_MS 1000
 #define MAX_IDLE_HANDLES 256
 #define DEFAULT_MAX_IDLE_S 60
-/* A connection whose other end is gone shows within about four seconds. */
+/* A connection whose other end is unreachable fails in about four seconds. */
 #define KEEPALIVE_IDLE_S 2
 #define KEEPALIVE_INTERVAL_S 1
 #define KEEPALIVE_PROBES 2
@@ -26,10 +26,11 @@
 };
 
 /*
- * libcurl refuses to let go of any request while it is in a callback, and goes
- * on to use its handle. Reset and used for the next request meanwhile, that
- * handle would write the answer's bytes to standard output, and then crash. So
- * a request cancelled there is only silenced, and let go once libcurl is done.
+ * Cancel a request inside a callback of libcurl. There libcurl refuses to
+ * remove any handle and continues to use the current one: if that were reset
+ * and reused for the next request, libcurl would write the answer to standard
+ * output and then crash. So the handle is only detached from f here;
+ * on_cleanup() removes it once the callback has returned.
  */
 static void defer_cleanup(struct fetch *f)
 {
@@ -43,7 +44,7 @@
 	curl_easy_setopt(f->easy, CURLOPT_SOCKOPTDATA, NULL);
 	curl_easy_pause(f->easy, CURLPAUSE_ALL);
 	g_ptr_array_add(x->cancelled_handles, f->easy);
-	/* Its headers stay with the handle, a few hundred bytes, until then. */
+	/* The handle stays until the cleanup, so it must not refer to these. */
 	curl_easy_setopt(f->easy, CURLOPT_HTTPHEADER, NULL);
 	curl_slist_free_all(f->headers);
 	f->headers = NULL;
@@ -56,7 +57,7 @@
 {
 	struct fetcher *x = f->fetcher;
 
-	/* One that libcurl still holds must not be reset, nor used again. */
+	/* A handle that libcurl still uses must not be reset or reused. */
 	if (x->callback_depth || curl_multi_remove_handle(x->multi, f->easy)) {
 		defer_cleanup(f);
 		return;
@@ -142,7 +143,7 @@
 			continue;
 		result = to_result(f, msg->data.result);
 		f->connection_refused = connection_was_refused(msg);
-		/* An answer without a body has a head all the same. */
+		/* on_write() is not called for an answer without a body. */
 		if (!result)
 			report_head(f);
 		headers = f->answer_headers;
@@ -226,7 +227,6 @@
 	return 0;
 }
 
-/* Set up a client that opens at most max_connections. */
 void fetcher_init(struct fetcher *x, struct ev_loop *loop,
 		  uint32_t max_connections)
 {
@@ -251,7 +251,6 @@
 			  (long)max_connections);
 }
 
-/* Release; every fetch must have ended or been cancelled. */
 void fetcher_finish(struct fetcher *x)
 {
 	uint32_t i;
@@ -272,9 +271,10 @@
 }
 
 /*
- * libcurl sends a request again by itself when a kept connection turns out to
- * be dead, and the server may have run it the first time. It asks here before
- * each sending, so that the second one is stopped and the outcome is unknown.
+ * Called by libcurl each time before it sends a request. When a kept connection
+ * turns out to be dead, libcurl sends the request again by itself, although the
+ * server may have run it the first time. The second send is refused here; the
+ * fetch then fails with sent true, which means that the outcome is unknown.
  */
 static int on_prereq(void *user, char *to, char *from, int to_port,
 		     int from_port)
@@ -295,9 +295,10 @@
 }
 
 /*
- * A connection can go silent for good when something between the two ends has
- * lost track of it. Nothing comes back then, not even a reset; unanswered
- * probes make the kernel report it.
+ * Called by libcurl for each new socket: refuses it after connect_by_ms, and
+ * enables keepalive. A connection can become dead without a reset, for example
+ * when a firewall or NAT between the two ends drops its state. The kernel
+ * reports this when keepalive probes or sent data stay unacknowledged.
  */
 static int configure_socket(void *user, curl_socket_t fd, curlsocktype purpose)
 {
@@ -394,7 +395,7 @@
 {
 	uint32_t i;
 
-	/* What libcurl would add of its own accord is not the caller's. */
+	/* Suppress headers that libcurl adds but the caller did not send. */
 	f->headers = curl_slist_append(f->headers, "Expect:");
 	f->headers = curl_slist_append(f->headers, "Accept:");
 	f->headers = curl_slist_append(f->headers, "Content-Type:");
--- a/net/fetch.h
+++ b/net/fetch.h
@@ -8,19 +8,19 @@
 #include <glib.h>
 
 /*
- * HTTP client on the process's one loop, by libcurl's multi interface. Used
- * towards the backend server and the platform's log.
+ * HTTP client on the event loop of the process, on top of libcurl's multi
+ * interface. Used for calls to the backend server and to the platform's log.
  */
 
 struct fetcher {
 	struct ev_loop *loop;
 	CURLM *multi;
 	ev_timer timer;
-	GPtrArray *idle_handles; /* CURL * handles kept for use again */
+	GPtrArray *idle_handles; /* CURL *, kept for reuse */
 	GPtrArray *sockets; /* struct fetch_socket */
-	uint32_t callback_depth; /* callbacks of libcurl that we are in */
-	GPtrArray *cancelled_handles; /* CURL * cancelled within a callback */
-	ev_prepare cleanup; /* runs while there are any */
+	uint32_t callback_depth; /* on_write() calls in progress */
+	GPtrArray *cancelled_handles; /* CURL *, cancelled in a callback */
+	ev_prepare cleanup; /* active while cancelled_handles is not empty */
 	int64_t max_idle_s; /* a connection idle for longer is not reused */
 	uint32_t n_in_flight;
 };
@@ -29,20 +29,24 @@
 
 struct fetch_ops {
 	/*
-	 * All of the answer's headers are there, before on_head. False drops
-	 * an answer that is not ours: the fetch ends with RESULT_MIXED and its
-	 * connection closes. May be NULL.
+	 * Called before on_head, once all headers of the answer are received.
+	 * Returns false when the answer belongs to another request: the fetch
+	 * then ends with RESULT_MIXED and its connection is closed. May be
+	 * NULL.
 	 */
 	bool (*check_head)(struct fetch *f);
-	/* The answer's head has come. */
+	/* Status and headers of the answer are received. May be NULL. */
 	void (*on_head)(struct fetch *f);
-	/* Part of its body; false pauses until fetch_resume(). */
+	/*
+	 * Part of the answer's body. Returning false pauses the transfer until
+	 * fetch_resume(), which delivers the same part again. May be NULL.
+	 */
 	bool (*on_data)(struct fetch *f, const void *data, size_t len);
-	/* The end: RESULT_OK, or why the answer is not whole. */
+	/* The fetch ended: RESULT_OK, or why the answer is incomplete. */
 	void (*on_done)(struct fetch *f, int result);
 };
 
-/* One request, on memory the caller owns until on_done. */
+/* One request. The memory is the caller's and must stay until on_done. */
 struct fetch {
 	struct fetcher *fetcher;
 	CURL *easy;
@@ -51,24 +55,28 @@
 	void *user;
 	long status;
 	bool head_done;
-	bool sent; /* some byte of the request may have left */
-	int64_t sent_at_us; /* when it had a connection */
-	int64_t send_by_ms; /* not to be sent later, 0 at any time */
-	int64_t connect_by_ms; /* no connection to be opened later, 0 any time */
-	bool connect_expired; /* failed for the latter */
-	bool connection_refused; /* nobody listens at the address */
-	bool head_rejected; /* check_head refused the answer */
-	GPtrArray *answer_headers; /* name and value in turn */
+	bool sent; /* some byte of the request may have been sent */
+	int64_t sent_at_us; /* when a connection was ready for it */
+	int64_t send_by_ms; /* not sent after this time, 0 no limit */
+	int64_t connect_by_ms; /* no connection opened after it, 0 no limit */
+	bool connect_expired; /* failed because connect_by_ms had passed */
+	bool connection_refused; /* no process listens at the address */
+	bool head_rejected; /* check_head returned false */
+	GPtrArray *answer_headers; /* names and values, alternating */
 	char error[CURL_ERROR_SIZE];
 };
 
+/* Set up a client that has at most max_connections open. */
 void fetcher_init(struct fetcher *x, struct ev_loop *loop,
 		  uint32_t max_connections);
+
+/* Release; every fetch must have ended or been cancelled. */
 void fetcher_finish(struct fetcher *x);
 
 /*
- * Start a request. headers: name and value in turn, or NULL; body is not
- * copied and must stay until the end. fresh opens a new connection.
+ * Start a request. headers: names and values, alternating, or NULL. body is not
+ * copied and must stay until the fetch ends. timeout_ms bounds the whole
+ * transfer. fresh: use a new connection instead of a kept one.
  */
 void fetch_start(struct fetch *f, struct fetcher *x, const char *method,
 		 const char *url, const GPtrArray *headers, const void *body,
@@ -76,23 +84,24 @@
 		 const struct fetch_ops *ops, void *user);
 
 /*
- * Bound a request just started, by our clock: later than send_by_ms it is not
- * sent, and later than connect_by_ms no connection is opened for it. It fails
- * with sent false then.
+ * Set deadlines, by clock_now_ms(), of a request just started: it is not sent
+ * after send_by_ms, and no connection is opened for it after connect_by_ms. A
+ * request that misses one fails, with sent false.
  */
 void fetch_set_deadlines(struct fetch *f, int64_t send_by_ms,
 			 int64_t connect_by_ms);
 
 /*
- * End a request just started with RESULT_TIMEOUT when nothing arrives for
- * idle_ms, by whole seconds, whatever its time limit.
+ * End a request just started with RESULT_TIMEOUT when no data arrives for
+ * idle_ms, rounded down to whole seconds but at least one. The timeout of
+ * fetch_start() applies as well.
  */
 void fetch_set_idle_timeout(struct fetch *f, int64_t idle_ms);
 
-/* Drop a request; on_done is not called. Its connection closes. */
+/* Cancel a request: on_done is not called, and its connection is closed. */
 void fetch_cancel(struct fetch *f);
 
-/* Go on after on_data returned false. */
+/* Resume a transfer that on_data paused by returning false. */
 void fetch_resume(struct fetch *f);
 
 #endif
--- a/net/headers.c
+++ b/net/headers.c
@@ -30,7 +30,6 @@
 	.replayed = "Briargrade-Replayed",
 };
 
-/* The first value of a header, NULL when absent. */
 const char *header_find(const GPtrArray *headers, const char *name)
 {
 	guint i;
@@ -48,7 +47,6 @@
 	return g_ptr_array_new_with_free_func(g_free);
 }
 
-/* Add a copy of a header. */
 void header_add(GPtrArray *headers, const char *name, const char *value)
 {
 	g_ptr_array_add(headers, g_strdup(name));
@@ -71,7 +69,6 @@
 		header_add(headers, name, value);
 }
 
-/* Add a header with a whole number; none when it has no name. */
 void header_add_int(GPtrArray *headers, const char *name, gint64 value)
 {
 	if (!name)
--- a/net/headers.h
+++ b/net/headers.h
@@ -4,7 +4,7 @@
 #include <stdbool.h>
 #include <glib.h>
 
-/* Headers stand in a GPtrArray of strings, name and value in turn. */
+/* Headers are a GPtrArray of strings: names and values, alternating. */
 
 #define OUTCOME_NOT_RUN "not-run"
 #define OUTCOME_UNKNOWN "unknown"
@@ -12,25 +12,24 @@
 #define OUTCOME_IN_PROGRESS "in-progress"
 
 /*
- * The names under which requests and answers carry what nodes must know. The
- * settings choose a table. A name that is NULL is not carried.
+ * Names of the headers that nodes read from and add to requests and answers.
+ * The settings choose one such table. A header whose name is NULL is not used.
  */
 struct header_names {
 	/* From callers. */
-	const char *attempt_id; /* one sending of a request, never used again */
-	const char *idempotency; /* one request, the same when sent again */
+	const char *attempt_id; /* one send of a request; never reused */
+	const char *idempotency; /* one request; the same when resent */
 	const char *wait_ms; /* how long the caller waits, milliseconds */
 	/* To backend servers. */
 	const char *deadline_ms; /* time left, milliseconds */
 	const char *fence;
 	const char *shard;
 	const char *grant_ms;
-	const char *caller_service; /* of the host where the request began */
-	const char
-		*expect_instance; /* the backend server's life that is meant */
+	const char *caller_service; /* of the host that sent the request */
+	const char *expect_instance; /* the backend server instance addressed */
 	/* From backend servers. */
-	const char *not_run; /* present: the request did not run */
-	const char *signature; /* present on each whole success */
+	const char *not_run; /* present when the request did not run */
+	const char *signature; /* present on each complete successful answer */
 	const char *load;
 	/* To callers. */
 	const char *outcome;
@@ -39,19 +38,28 @@
 					second */
 };
 
-/* What this project speaks by itself. */
+/* The names that are used unless the settings select the platform. */
 extern const struct header_names headers_default;
 
-/* Whether a header concerns one connection only (RFC 9110, 7.6.1). */
+/* Whether a header applies to one connection only (RFC 9110, 7.6.1). */
 bool header_is_hop_by_hop(const char *name);
+
+/* The first value of a header, NULL when it is absent or name is NULL. */
 const char *header_find(const GPtrArray *headers, const char *name);
+
+/* Append copies of name and value. */
 void header_add(GPtrArray *headers, const char *name, const char *value);
+
+/* Append a header with an integer value; no effect when name is NULL. */
 void header_add_int(GPtrArray *headers, const char *name, gint64 value);
 
-/* Replace every value of a header by one; a NULL name or value only removes. */
+/*
+ * Replace all values of a header by one. A NULL value only removes the header;
+ * a NULL name has no effect.
+ */
 void header_set(GPtrArray *headers, const char *name, const char *value);
 
-/* An empty list that owns its strings. */
+/* A new empty list that owns its strings. */
 GPtrArray *headers_new(void);
 
 #endif
