--- a/net/httpd.c
+++ b/net/httpd.c
@@ -18,18 +18,22 @@
 #define CONNECTION_LIMIT 4096
 #define IDLE_TIMEOUT_S 120
 #define STREAM_BLOCK_BYTES (64 * 1024)
-/* What libmicrohttpd takes for a connection: for the head of a request, */
+/*
+ * libmicrohttpd's memory for one connection holds the head of a request, an
+ * index of its header lines (a quarter of the head), and the head of the
+ * answer.
+ */
 #define MIN_POOL_BYTES (32 * 1024)
-/* as much again by its share for what it notes of each line of it, */
 #define HEADER_INDEX_DIVISOR 4
-/* and for the head of the answer. */
 #define ANSWER_HEAD_BYTES (8 * 1024)
 #define MAX_HEAD_BYTES (4 * 1024 * 1024)
 #define DRAIN_IDLE_S 1u
-/* A tenth of the shortest target in use is lost on a request sent ahead. */
+/*
+ * Delays a pipelined request by up to a tenth of the shortest target in use.
+ */
 #define PIPELINE_POLL_S 0.01
 
-/* Those before the one that listens end with their last connection. */
+/* Stop old daemons whose last connection is closed. */
 static void stop_unused(struct httpd *h)
 {
 	uint32_t i;
@@ -85,7 +89,7 @@
 
 	(void)loop;
 	(void)events;
-	/* A resumed connection waits for MHD_run(), not for its socket. */
+	/* A resumed connection makes no progress before the next MHD_run(). */
 	while (h->needs_run)
 		run_daemons(h);
 }
@@ -110,8 +114,8 @@
 }
 
 /*
- * End a request without a word: its caller may still read, and whatever we said
- * of one that goes on elsewhere could be wrong.
+ * End a request and its connection without an answer. The caller may still
+ * read, and any answer could be wrong while the request still runs elsewhere.
  */
 static void drop_request(struct httpd_request *r)
 {
@@ -125,9 +129,10 @@
 }
 
 /*
- * All that came over the connection ends at once, not only the request whose
- * turn it is: one after the other, each would take a round of the loop, and
- * those that libmicrohttpd has read already would be begun for nobody.
+ * End all requests of the connection at once, not only the current one. Ended
+ * one after the other, each would take an iteration of the event loop, and
+ * those that libmicrohttpd has already read would be begun although the caller
+ * has left.
  */
 static void on_caller_left(struct httpd_request *r)
 {
@@ -143,10 +148,11 @@
 }
 
 /*
- * libmicrohttpd does not look at the socket of a suspended connection. A
- * caller that leaves would go unnoticed, and a backend server go on working
- * for nobody. Bytes that wait to be read are a next request, no leaving; while
- * they wait the socket is always readable, so a timer looks for more.
+ * libmicrohttpd does not poll the socket of a suspended connection, so a caller
+ * that closes it would not be noticed, and a backend server would continue to
+ * work on a request whose answer cannot be delivered. Unread bytes are the next
+ * request, not the end of the connection. While there are any the socket stays
+ * readable, so from then on a timer checks it.
  */
 static void on_socket_readable(struct ev_loop *loop, ev_io *w, int events)
 {
@@ -221,7 +227,7 @@
 	g_free(r);
 }
 
-/* libmicrohttpd hands the raw target over only here, before it is split. */
+/* The only callback that gets the raw request target, before it is split. */
 static void *on_uri(void *user, const char *uri, struct MHD_Connection *c)
 {
 	struct httpd_request *r = httpd_request_new(user);
@@ -297,7 +303,7 @@
 				 "the body is too large\n");
 		return queue_response(r);
 	}
-	/* It may have waited in the socket until its caller gave it up. */
+	/* The caller may have left before the request was read. */
 	if (h->ops->on_caller_left && r->conn &&
 	    (r->conn->caller_left || caller_has_left(r->conn))) {
 		r->conn->caller_left = true;
@@ -348,7 +354,10 @@
 		if (d->mhd == info->daemon)
 			return d;
 	}
-	/* It is accepted by one of them, if need be by the one being started. */
+	/*
+	 * A daemon that is just starting is not in the list yet; its
+	 * connection is counted with the latest one.
+	 */
 	return g_ptr_array_index(h->daemons, h->daemons->len - 1);
 }
 
@@ -384,7 +393,7 @@
 	*socket_context = n;
 }
 
-/* Start to listen, at addr or on a socket that listens already. */
+/* Start a daemon that listens at addr or, if NULL, on a listening socket. */
 static struct MHD_Daemon *
 start_daemon(struct httpd *h, struct sockaddr_in *addr, MHD_socket listening)
 {
@@ -480,18 +489,17 @@
 		return RESULT_OK;
 	h->pool_bytes = old_bytes;
 	if (add_daemon(h, NULL, fd))
-		g_error("cannot listen any more");
+		g_error("cannot restart the HTTP listener");
 	return RESULT_IO;
 }
 
-/* Stop listening and drop what is open. */
 void httpd_finish(struct httpd *h)
 {
 	uint32_t i;
 
 	ev_timer_stop(h->loop, &h->timer);
 	ev_prepare_stop(h->loop, &h->prepare);
-	/* libmicrohttpd aborts where a connection is suspended at its end. */
+	/* MHD_stop_daemon() aborts if a connection is still suspended. */
 	for (i = 0; i < h->connections->len; i++) {
 		struct httpd_connection *c =
 			g_ptr_array_index(h->connections, i);
@@ -515,9 +523,10 @@
 
 	h->draining = true;
 	/*
-	 * libmicrohttpd closes these itself. A request that comes meanwhile is
-	 * answered; shut down from outside, one just being read would get no
-	 * answer though a server works on it.
+	 * With a short idle timeout libmicrohttpd closes the connections
+	 * itself, and answers a request that arrives before that. If the
+	 * sockets were shut down here, a request just being read would get no
+	 * answer although a server runs it.
 	 */
 	for (i = 0; i < h->connections->len; i++) {
 		struct httpd_connection *c =
@@ -576,7 +585,6 @@
 	return out;
 }
 
-/* A request header by name, NULL when absent. */
 const char *httpd_header(const struct httpd_request *r, const char *name)
 {
 	if (r->headers)
@@ -585,7 +593,6 @@
 					   name);
 }
 
-/* A query argument by name, NULL when absent. */
 const char *httpd_argument(const struct httpd_request *r, const char *name)
 {
 	if (!r->mhd_connection)
@@ -619,7 +626,6 @@
 	resume(r);
 }
 
-/* Answer with a line of text. */
 void httpd_reply_text(struct httpd_request *r, uint32_t status,
 		      const char *text)
 {
@@ -665,14 +671,12 @@
 	resume(r);
 }
 
-/* Add bytes to a streamed answer. */
 void httpd_stream_write(struct httpd_request *r, const void *data, size_t len)
 {
 	g_byte_array_append(r->unsent, data, len);
 	resume(r);
 }
 
-/* End a streamed answer; one that is not whole cuts the connection. */
 void httpd_stream_end(struct httpd_request *r, bool complete)
 {
 	r->body_ended = true;
@@ -680,7 +684,6 @@
 	resume(r);
 }
 
-/* Bytes of a streamed answer that wait in memory. */
 size_t httpd_unsent_bytes(const struct httpd_request *r)
 {
 	return r->unsent ? r->unsent->len : 0;
--- a/net/httpd.h
+++ b/net/httpd.h
@@ -8,54 +8,58 @@
 #include <microhttpd.h>
 
 /*
- * HTTP/1.1 server on the process's one loop, by libmicrohttpd without threads
- * of its own. A request is handed over once its body is whole; the answer may
- * come at any later time, at once or in pieces.
+ * HTTP/1.1 server on the event loop of the process, on top of libmicrohttpd,
+ * which runs without threads here. on_request is called once a request's body
+ * is complete. The answer may be given at any later time, whole or streamed.
  */
 
 struct httpd;
 struct httpd_request;
 
 struct httpd_ops {
-	/* A whole request; must be answered sooner or later. */
+	/* A complete request is received; it must be answered eventually. */
 	void (*on_request)(void *user, struct httpd_request *r);
 	/*
-	 * The caller has left while its request is being worked on, or before
-	 * the turn of one that was begun ahead of it. May be NULL; on_closed
-	 * follows.
+	 * The caller closed its connection before r was answered; r may be a
+	 * pipelined request that was begun early. on_closed follows. May be
+	 * NULL.
 	 */
 	void (*on_caller_left)(void *user, struct httpd_request *r);
 	/*
-	 * Whether a request without a body may begin before it is its turn on
-	 * its connection, and be dropped should the connection end. May be
-	 * NULL: none may.
+	 * Whether a pipelined request without a body may be begun before the
+	 * requests ahead of it are answered. Such a request is dropped when
+	 * its connection ends. NULL: no request is begun early.
 	 */
 	bool (*may_begin_early)(void *user, const struct httpd_request *r);
-	/* The caller went away, or its answer is finished; r ends here. */
+	/*
+	 * The answer is finished, or the connection has ended. r is freed when
+	 * this returns.
+	 */
 	void (*on_closed)(void *user, struct httpd_request *r);
-	/* A streamed answer has room again. */
+	/* Bytes of a streamed answer were taken: more can be written. */
 	void (*on_drained)(void *user, struct httpd_request *r);
 };
 
 struct httpd {
 	struct ev_loop *loop;
-	struct MHD_Daemon *daemon; /* the one that listens */
-	GPtrArray *daemons; /* struct httpd_daemon, it and those before it */
-	uint64_t pool_bytes; /* what it has for the head of a request */
+	struct MHD_Daemon *daemon; /* the one that accepts connections */
+	GPtrArray *daemons; /* struct httpd_daemon, that one and older ones */
+	uint64_t pool_bytes; /* memory of daemon for each connection */
 	ev_timer timer;
 	ev_prepare prepare;
 	const struct httpd_ops *ops;
 	void *user;
 	uint64_t max_body_bytes;
 	GPtrArray *connections; /* struct httpd_connection */
-	bool needs_run; /* a connection was resumed: run the daemon */
+	bool needs_run; /* a connection was resumed: run the daemons */
 	bool draining;
-	bool stopped_listening; /* takes no connections any more */
+	bool stopped_listening; /* accepts no new connections */
 };
 
 /*
- * libmicrohttpd is told at its start how much memory a connection may use. One
- * that has less than is needed goes on with the connections that it has.
+ * libmicrohttpd fixes the memory for each connection when a daemon starts. To
+ * raise that limit, a new daemon takes over the listening socket; the old one
+ * runs until its last connection is closed.
  */
 struct httpd_daemon {
 	struct httpd *httpd;
@@ -64,32 +68,32 @@
 	uint32_t n_connections;
 };
 
-/* A caller's open connection. */
+/* An open connection of a caller. */
 struct httpd_connection {
 	struct httpd *httpd;
 	struct httpd_daemon *daemon;
 	struct MHD_Connection *mhd_connection;
 	int fd;
-	bool has_request; /* a request on it has begun and is not finished */
-	bool idle_close_set; /* it was told to close when idle for a moment */
-	bool caller_left; /* the caller has closed it: nothing more is begun */
-	struct httpd_request *current; /* suspended while it is worked on */
-	ev_timer poll_timer; /* for what else comes meanwhile */
-	GQueue pipelined; /* struct httpd_request begun before their turn */
-	size_t pipelined_bytes; /* what these take of what waits in the socket */
+	bool has_request; /* a request on it is not finished */
+	bool idle_close_set; /* closes when idle for DRAIN_IDLE_S */
+	bool caller_left; /* the caller closed it: no request is begun */
+	struct httpd_request *current; /* suspended until there is an answer */
+	ev_timer poll_timer; /* checks for pipelined requests meanwhile */
+	GQueue pipelined; /* struct httpd_request, begun early */
+	size_t pipelined_bytes; /* of those still unread in the socket */
 };
 
 struct httpd_request {
 	struct httpd *httpd;
-	struct MHD_Connection *mhd_connection; /* NULL before its turn */
+	struct MHD_Connection *mhd_connection; /* NULL until MHD read it */
 	struct httpd_connection *conn;
-	GPtrArray *headers; /* of one begun before its turn, else NULL */
-	bool in_socket; /* the same, and libmicrohttpd has not read it yet */
-	ev_io caller_watch; /* for the caller's leaving, while suspended */
+	GPtrArray *headers; /* if begun early, else NULL */
+	bool in_socket; /* begun early, not yet read by libmicrohttpd */
+	ev_io caller_watch; /* detects that the caller left, if suspended */
 	int64_t read_at_us; /* when its first line was read */
 	char *method;
 	char *path; /* decoded, without the query */
-	char *url; /* as it came, with the query */
+	char *url; /* as received, with the query */
 	GByteArray *body;
 	bool too_large;
 	bool suspended;
@@ -97,65 +101,83 @@
 	bool streaming;
 	bool body_ended;
 	bool body_incomplete;
-	bool drop_unanswered; /* ends with its connection, unanswered */
+	bool drop_unanswered; /* close the connection without an answer */
 	struct MHD_Response *response; /* queued on resume */
 	uint32_t status;
-	GByteArray *unsent; /* streamed bytes not yet taken */
+	GByteArray *unsent; /* streamed bytes not yet taken by MHD */
 	void *user;
 };
 
 /*
- * Listen on address ("127.0.0.1:8080"). max_body_bytes bounds what one
- * request may hold in memory. Returns RESULT_OK, RESULT_INVALID for an
- * address that is none, RESULT_IO when it cannot be bound.
+ * Listen on address ("127.0.0.1:8080"). max_body_bytes bounds the memory that
+ * the body of one request may use; a longer one is answered with status 413.
+ * Returns RESULT_OK, RESULT_INVALID when the address cannot be parsed,
+ * RESULT_IO when it cannot be bound.
  */
 int httpd_init(struct httpd *h, struct ev_loop *loop, const char *address,
 	       uint64_t max_body_bytes, const struct httpd_ops *ops,
 	       void *user);
+
+/* Stop listening and close all connections. */
 void httpd_finish(struct httpd *h);
 
 /*
- * Accept requests with heads of up to so many bytes, at most 4 MiB, on
- * connections from now on. Never less than before. Not to be called from an
- * operation of httpd_ops. Returns RESULT_OK, or RESULT_IO when it is as before.
+ * Accept request heads of up to this many bytes, at most 4 MiB, on connections
+ * opened from now on. The limit is never lowered. Must not be called from an
+ * operation of httpd_ops. Returns RESULT_OK, or RESULT_IO when the limit could
+ * not be raised.
  */
 int httpd_raise_head_limit(struct httpd *h, uint64_t bytes);
 
 /*
- * For a graceful stop: close connections after their next answer, or when idle
- * for a second. Call it again for those that were opened since.
+ * For a graceful stop: close each connection after its next answer, or when it
+ * has been idle for a second. Call again for connections opened since.
  */
 void httpd_drain(struct httpd *h);
 
-/* Take no new connections. */
+/* Drain, and accept no new connections. */
 void httpd_stop_listening(struct httpd *h);
 
-/* Whether no connection is open. */
 bool httpd_has_no_connections(const struct httpd *h);
 
-/* For net/pipeline.c: one that has not been read from a connection. */
+/* For net/pipeline.c: a request that libmicrohttpd has not read yet. */
 struct httpd_request *httpd_request_new(struct httpd *h);
 void httpd_request_free(struct httpd_request *r);
 
-/* Requests begun behind this one on its connection. */
+/* The number of pipelined requests begun early on the connection of r. */
 uint32_t httpd_n_pipelined(const struct httpd_request *r);
 
-/* All headers, name and value in turn; the caller unrefs. */
+/* All headers: names and values, alternating. The caller unrefs the list. */
 GPtrArray *httpd_headers(const struct httpd_request *r);
+
+/* The value of a request header, NULL when absent. */
 const char *httpd_header(const struct httpd_request *r, const char *name);
+
+/* The value of a query argument, NULL when absent. */
 const char *httpd_argument(const struct httpd_request *r, const char *name);
 
-/* Answer whole. headers: name and value in turn, or NULL. */
+/*
+ * Answer a request with a body that is copied. headers: names and values,
+ * alternating, or NULL. No effect on a request that is answered already.
+ */
 void httpd_reply(struct httpd_request *r, uint32_t status,
 		 const GPtrArray *headers, const void *body, size_t len);
+
+/* Answer with a line of text. */
 void httpd_reply_text(struct httpd_request *r, uint32_t status,
 		      const char *text);
 
-/* Answer in pieces; length < 0: unknown. */
+/* Begin a streamed answer of length bytes; a negative length is unknown. */
 void httpd_stream_begin(struct httpd_request *r, uint32_t status,
 			const GPtrArray *headers, int64_t length);
+
+/* Append bytes to a streamed answer. */
 void httpd_stream_write(struct httpd_request *r, const void *data, size_t len);
+
+/* End a streamed answer; one that is incomplete closes the connection. */
 void httpd_stream_end(struct httpd_request *r, bool complete);
+
+/* Bytes of a streamed answer that libmicrohttpd has not taken yet. */
 size_t httpd_unsent_bytes(const struct httpd_request *r);
 
 #endif
--- a/net/pipeline.c
+++ b/net/pipeline.c
@@ -8,7 +8,10 @@
 #include "net/headers.h"
 #include "util/counters.h"
 
-/* More waits than a caller has reason to send ahead; it is left to its turn. */
+/*
+ * Nothing is begun early when this much or more is unread in the socket: more
+ * than a caller has reason to pipeline.
+ */
 #define PEEK_BYTES (8 * 1024)
 #define MAX_PIPELINED 8
 
@@ -18,7 +21,7 @@
 	GString *name;
 	GString *value;
 	bool in_value;
-	bool may_start; /* asks for an answer, and carries nothing */
+	bool may_start; /* GET of HTTP/1.1 without a body or upgrade */
 	bool complete;
 };
 
@@ -86,7 +89,10 @@
 	.on_message_complete = on_complete,
 };
 
-/* The first request in data; sets *len to its length. NULL: none to begin. */
+/*
+ * Parse the first request in data and set *len to its length. Returns NULL when
+ * it is incomplete or must not be begun early.
+ */
 static struct httpd_request *parse_head(struct httpd *d, const char *data,
 					size_t *len)
 {
@@ -104,7 +110,10 @@
 	r->method = g_strdup("GET");
 	r->url = g_strdup(h.url->str);
 	r->path = g_strndup(r->url, strcspn(r->url, "?"));
-	/* Decoding is libmicrohttpd's; what needs it waits for its turn. */
+	/*
+	 * Only libmicrohttpd decodes paths: a request with a percent-encoded
+	 * one is not begun early.
+	 */
 	if (!h.complete || !h.may_start || strchr(r->url, '%') ||
 	    r->url[0] != '/') {
 		httpd_request_free(r);
@@ -191,17 +200,18 @@
 	struct httpd_request *begun = g_queue_peek_head(&c->pipelined);
 
 	/*
-	 * One that came together with the request before it was in
-	 * libmicrohttpd's buffer by then, out of our sight. The first begun
-	 * comes after it, and its turn is not yet.
+	 * A request that arrived together with the one before it was already
+	 * in libmicrohttpd's buffer, not in the socket, and was not begun
+	 * early. It is read first; the head of the queue comes after it.
 	 */
 	if (!begun || !is_same_request(begun, r))
 		return NULL;
 	g_queue_pop_head(&c->pipelined);
 	/*
-	 * Read from the socket now, and whatever else waited there with it.
-	 * Looked at from its start again, what comes next would otherwise be
-	 * taken for what follows these, or these be begun twice.
+	 * libmicrohttpd has now read this request from the socket, and all
+	 * others that were there with it. The next peek starts at the first
+	 * unread byte: with the old offset it would skip new requests, and
+	 * requests still counted as unread could be begun twice.
 	 */
 	if (begun->in_socket) {
 		g_queue_foreach(&c->pipelined, clear_in_socket, NULL);
