--- a/net/log-client.c
+++ b/net/log-client.c
@@ -14,14 +14,17 @@
 #define LOG_CONNECTIONS 8
 #define MAX_APPENDS 64
 /*
- * An answer beyond the wait for news takes some milliseconds. A log that takes
- * longer than this is slow, and is given twice as long each time.
+ * Bounds of the time allowed for an answer beyond wait_ms. It usually takes
+ * some milliseconds. The time doubles after each time-out, for a slow log.
  */
 #define ANSWER_TIMEOUT_MIN_MS 1000
 #define ANSWER_TIMEOUT_MAX_MS 8000
-/* A read younger than this may still tell of the news by itself. */
+/* A read younger than this may still return the expected record. */
 #define RESTART_MIN_AGE_MS 500
-/* The clock has moved on by then, so that the read counts as a later one. */
+/*
+ * The clock advances meanwhile, so that the read counts as sent after the
+ * append came to be in doubt.
+ */
 #define IN_DOUBT_READ_DELAY_MS 5
 
 static bool has_append_in_doubt(const struct log_client *c)
@@ -65,7 +68,6 @@
 	ev_timer_start(c->loop, &c->timer);
 }
 
-/* Start reading from offset 0. */
 void log_client_init(struct log_client *c, struct ev_loop *loop,
 		     const char *address, const struct log_ops *ops,
 		     const struct log_handlers *handlers, void *user)
@@ -98,7 +100,6 @@
 	g_free(a);
 }
 
-/* Stop reading and drop appends under way. */
 void log_client_finish(struct log_client *c)
 {
 	ev_timer_stop(c->loop, &c->timer);
@@ -121,7 +122,6 @@
 	c->scanning = c->ops->recover;
 }
 
-/* Whether the last read succeeded. */
 bool log_client_up(const struct log_client *c)
 {
 	return !c->n_failures;
@@ -148,9 +148,9 @@
 }
 
 /*
- * Only a read that begins later tells whether an append without an answer took
- * effect, and until then nothing more of its kind is appended. The one under
- * way may wait for news for seconds, so it ends here.
+ * Only a read sent after the answer was lost shows whether the append took
+ * effect, and until then no other record of its kind is appended. The current
+ * read may wait for new records for seconds, so it is cancelled.
  */
 static void read_to_resolve_doubt(struct log_client *c)
 {
@@ -161,14 +161,14 @@
 }
 
 /*
- * A read that waits for news at a store that went away, or on a connection that
- * something between has lost track of, waits until its time is over, ten
- * seconds, while others hear of every change. One notices by a peer that knows
- * more. Begun again it is answered at once.
+ * When the store has stopped, or the connection is dead without a reset, a read
+ * that waits for new records ends only at its time-out, after ten seconds,
+ * while other nodes read every change. A node detects this by a peer that has
+ * applied more records. A new read is answered at once.
  */
 void log_client_restart_read(struct log_client *c)
 {
-	/* A read of the whole log is long, and tells of the news by itself. */
+	/* A scan takes long, and returns the new records by itself. */
 	if (c->scanning)
 		return;
 	if (!c->reading && !c->n_failures)
@@ -236,9 +236,9 @@
 	uint32_t i;
 
 	/*
-	 * The log may lose an answer after the write took effect. Only a read
-	 * that began after the answer was lost, and reached the end without
-	 * meeting the record, shows that the append did not take effect.
+	 * The answer may be lost after the write took effect. Only a read that
+	 * was sent after the answer was lost, and reached the end of the log
+	 * without finding the record, shows that the append had no effect.
 	 */
 	for (i = c->appends->len; i-- > 0;) {
 		struct log_append *a = g_ptr_array_index(c->appends, i);
@@ -301,7 +301,7 @@
 						    c->retry_ms + 1));
 		return;
 	}
-	/* Told by the other, it need not be told in turn. */
+	/* The other stream caused this read: it need not be notified. */
 	regained = !c->other_stream_up && (c->n_failures || c->read_restarted);
 	if (c->n_failures)
 		EVENT(store_regained, NULL,
@@ -339,7 +339,7 @@
 		return;
 	}
 	if (result == RESULT_CONFLICT) {
-		/* What came first must be read before it is tried again. */
+		/* The records that came first must be read before a retry. */
 		log_client_read_now(a->client);
 		end_append(a, result);
 		return;
@@ -457,7 +457,10 @@
 {
 	g_autofree char *url = g_strdup_printf("http://%s/append", c->address);
 
-	/* A connection of its own: libcurl must not send an append again. */
+	/*
+	 * A new connection: on a kept one that is dead, libcurl would resend
+	 * the append.
+	 */
 	fetch_start(&a->fetch, &c->fetcher, "POST", url, NULL, a->body->str,
 		    a->body->len, APPEND_TIMEOUT_MS, true, &append_ops, a);
 }
--- a/net/log-client.h
+++ b/net/log-client.h
@@ -8,39 +8,42 @@
 #include "net/fetch.h"
 
 /*
- * The platform's log. A table of functions stands between the node and the
- * protocol, so that the platform's own can take the place of the HTTP and
- * JSON that the stand-in speaks.
+ * Client of the platform's log. It reaches the log through struct log_ops, so
+ * that the protocol of the platform can replace the HTTP and JSON of the
+ * stand-in.
  */
 
-/* How long to wait at most after a failed read, where nothing else is said. */
+/* Default of log_client.retry_max_ms. */
 #define RETRY_MAX_MS 2000
 
 struct log_client;
 struct log_append;
 
-/* What came of one read. */
+/* The result of one read. */
 struct log_batch {
-	int result; /* RESULT_TRIMMED: first says what is left */
-	int64_t first; /* oldest offset the log holds */
+	int result; /* RESULT_TRIMMED: records before first are gone */
+	int64_t first; /* oldest offset that the log holds */
 	int64_t next; /* offset that the next append will get */
 	json_t *records; /* list of {offset, id, record} */
 };
 
 struct log_ops {
-	/* Ask for the records from an offset on, waiting for new ones. */
+	/*
+	 * Request the records from an offset on. If there are none, the log
+	 * answers after wait_ms or when a record is appended.
+	 */
 	void (*read)(struct log_client *c, int64_t from, int64_t wait_ms);
 	/*
-	 * Read all that is kept for good, where the log keeps more than its
-	 * history; batch.next says where reading goes on. NULL: reads of the
-	 * history must do.
+	 * Read the records that the log keeps permanently, beyond its trimmed
+	 * history; batch.next is the offset at which reading continues. NULL
+	 * when the log has no such call: then only the history is read.
 	 */
 	void (*recover)(struct log_client *c);
-	/* Append; answered by log_client_append_done(). */
+	/* Append a record; log_client_append_done() gets the result. */
 	void (*append)(struct log_client *c, struct log_append *a);
 };
 
-/* An append under way. */
+/* An append in flight. */
 struct log_append {
 	struct log_client *client;
 	struct fetch fetch;
@@ -48,11 +51,11 @@
 	GString *answer;
 	char id[40];
 	int64_t started_at_ms;
-	int kind; /* the caller's own mark */
+	int kind; /* chosen by the caller, passed to on_appended */
 	void *user;
-	bool any_offset; /* it may come after records not read yet */
-	uint32_t n_moved; /* to another offset, since others came first */
-	bool in_doubt; /* sent, and no answer came */
+	bool any_offset; /* may follow records that are not read yet */
+	uint32_t n_moved; /* times resent at another offset after a conflict */
+	bool in_doubt; /* sent, but the answer was lost */
 	int64_t in_doubt_since_ms;
 };
 
@@ -60,14 +63,14 @@
 	/* One record, in order. */
 	void (*on_record)(void *user, int64_t offset, const char *id,
 			  const json_t *record);
-	/* A read that began at sent_ms reached the end. */
+	/* A read that was sent at sent_ms reached the end of the log. */
 	void (*on_tail)(void *user, int64_t sent_ms);
 	/*
-	 * The log answers again, after a failure or after a read that heard
-	 * nothing. May be NULL.
+	 * The log answers again, after a failed read or after a read that was
+	 * restarted by log_client_restart_read(). May be NULL.
 	 */
 	void (*on_regained)(void *user);
-	/* The log no longer holds what we need; first is the oldest it has. */
+	/* The next record is trimmed; first is the oldest offset left. */
 	void (*on_trimmed)(void *user, int64_t first);
 	/* An append ended. */
 	void (*on_appended)(void *user, int kind, void *append_user,
@@ -80,7 +83,7 @@
 	void *user;
 	struct fetcher fetcher;
 	struct ev_loop *loop;
-	const char *name; /* of the stream, in log lines */
+	const char *name; /* of the stream, for log lines */
 	char address[64];
 	char writer[24];
 	uint64_t n_appends;
@@ -88,79 +91,88 @@
 	GString *read_answer;
 	int64_t read_from;
 	int64_t read_sent_at_ms;
-	int64_t wait_ms; /* how long a read may wait for news */
-	int64_t pause_ms; /* between reads that found all there is */
-	int64_t gather_ms; /* after a read with news, before the next */
-	int64_t answer_timeout_ms; /* how long beyond that for its answer */
+	int64_t wait_ms; /* how long the log may delay an empty answer */
+	int64_t pause_ms; /* from a read that reached the end to the next */
+	int64_t gather_ms; /* the same if it had records, to batch later ones */
+	int64_t answer_timeout_ms; /* for the answer, beyond wait_ms */
 	bool reading;
-	bool read_restarted; /* the read under way replaced one that heard
-				nothing */
-	bool other_stream_up; /* it was begun since another stream is back */
-	json_t *newest_records; /* during recover */
-	int64_t newest_end_offset;
-	uint32_t n_pages;
-	bool scanning; /* reading for a snapshot, from scan_from on */
+	bool read_restarted; /* the read replaces one without an answer */
+	bool other_stream_up; /* read was begun as another stream is up */
+	json_t *newest_records; /* read by recover so far */
+	int64_t newest_end_offset; /* the log's end when recover began */
+	uint32_t n_pages; /* read by recover so far */
+	bool scanning; /* reads from scan_from on, to find a snapshot */
 	int64_t scan_from;
-	int64_t next; /* next offset to be read */
+	int64_t next; /* offset of the next record to read */
 	int64_t retry_ms;
-	int64_t retry_max_ms; /* how long to wait at most after a failure */
-	int64_t n_failures;
+	int64_t retry_max_ms; /* longest backoff after a failed read */
+	int64_t n_failures; /* failed reads in succession */
 	ev_timer timer;
 	GPtrArray *appends; /* struct log_append */
 };
 
 extern const struct log_ops log_http_ops;
 
+/* Set up a client and start to read from offset 0. */
 void log_client_init(struct log_client *c, struct ev_loop *loop,
 		     const char *address, const struct log_ops *ops,
 		     const struct log_handlers *handlers, void *user);
+
+/* Stop reading, cancel appends in flight and release. */
 void log_client_finish(struct log_client *c);
 
 /*
- * Begin by recovering instead of reading from offset 0; no effect where the log
- * has no such call.
+ * Begin with log_ops.recover instead of reading from offset 0. No effect where
+ * the log has no such call.
  */
 void log_client_recover_first(struct log_client *c);
 
-/* Read on from an offset; also after a snapshot was loaded. */
+/* Continue to read from an offset, for example after loading a snapshot. */
 void log_client_seek(struct log_client *c, int64_t next);
 
-/* Read everything from an offset on, in search of a snapshot. */
+/* Read all records from an offset on, to find a snapshot. */
 void log_client_scan(struct log_client *c, int64_t from);
 
 /*
- * There is news that the read under way should have told of by now: replace it
- * by a new one, on a new connection; read at once where none is under way. No
- * effect on a read that is young, or that was itself begun for this, nor while
- * the whole log is read.
+ * Called when a record is known to exist that the current read should have
+ * returned by now: cancel that read and send a new one on another connection.
+ * If no read is in flight, send one at once, unless the last one failed. No
+ * effect on a read younger than RESTART_MIN_AGE_MS, on one that was itself
+ * restarted, or while scanning.
  */
 void log_client_restart_read(struct log_client *c);
 
-/* End a pause between reads. */
+/* Read at once, without waiting for the next scheduled read. */
 void log_client_read_now(struct log_client *c);
 
 /*
- * Another stream of the same log answers again: do not wait for a retry, nor on
- * a connection from before.
+ * Called when another stream of the same log answers again: read at once
+ * instead of at the next retry, and restart a read that is in flight.
  */
 void log_client_on_other_stream_up(struct log_client *c);
 
-/* End a read that only waits for news; the next one begins after the pause. */
+/*
+ * Cancel the current read, which only waits for new records, and schedule the
+ * next one after pause_ms. No effect while scanning or while an append is in
+ * doubt.
+ */
 void log_client_pause(struct log_client *c);
 
 /*
- * Append a record, which is stolen. anywhere: it means the same after records
- * that have not been read yet. Where others come first, RESULT_CONFLICT tells
- * that these should be read; a record that may come anywhere tries to follow
- * them a few times before.
+ * Append a record, and take over the reference to it. on_appended gets the
+ * result: RESULT_CONFLICT when other records came first, which must be read
+ * before a retry; RESULT_OVERLOAD when too many appends are in flight.
+ * any_offset: the record means the same after records that are not read yet; on
+ * a conflict it is first resent a few times behind them.
  */
 void log_client_append(struct log_client *c, int kind, bool any_offset,
 		       void *append_user, json_t *record);
 
-/* For the ops: a read or an append has ended. */
+/* For struct log_ops: a read or an append has ended. */
 void log_client_read_done(struct log_client *c, struct log_batch *b);
 void log_client_append_done(struct log_append *a, int result, bool sent);
 
+/* Whether the last read succeeded. */
 bool log_client_up(const struct log_client *c);
 
 #endif
