--- a/net/peer.c
+++ b/net/peer.c
@@ -18,14 +18,15 @@
 #define RECONNECT_MAX_MS 1000
 #define QUEUE_MESSAGES 2000
 /*
- * The library aborts the process when a connection fails whose reading it had
- * stopped for a full queue, so that queue is made not to fill.
+ * ZeroMQ stops reading a connection while its receive queue is full, and aborts
+ * the process if that connection then fails. This limit is high enough that the
+ * queue does not fill.
  */
 #define RECEIVE_QUEUE_MESSAGES 50000
 #define IDLE_CLOSE_MS 30000
 #define ROUTER_LINGER_MS 100
 #define IDLE_CHECK_S 1.0
-/* A message that says nothing: it is sent to learn whether it can be. */
+/* Sent to find out whether a link is connected; the receiver ignores it. */
 #define PROBE_MESSAGE "p"
 
 struct peer_link {
@@ -35,14 +36,14 @@
 	ev_io io;
 	bool needs_check;
 	bool was_connected;
-	GQueue queued; /* struct queued_message, for a connection */
+	GQueue queued; /* struct queued_message, until it is connected */
 	int64_t opened_at_ms;
 	int64_t last_used_at_ms;
 	int64_t last_received_at_ms;
 };
 
 struct queued_message {
-	uint64_t tag; /* 0: not to be taken back */
+	uint64_t tag; /* 0: cannot be cancelled */
 	zmq_msg_t body;
 };
 
@@ -59,16 +60,17 @@
 	set_int(socket, ZMQ_SNDHWM, QUEUE_MESSAGES);
 	set_int(socket, ZMQ_RCVHWM, RECEIVE_QUEUE_MESSAGES);
 	/*
-	 * A connection can go silent for good when something between the two
-	 * ends has lost track of it: sends go on to succeed and nothing comes
-	 * back. Unanswered pings make the library drop it and connect anew.
+	 * A connection can become dead without a reset, for example when a
+	 * firewall or NAT between the two ends drops its state: sends continue
+	 * to succeed but no answer arrives. ZeroMQ closes a connection whose
+	 * heartbeats are not answered, and reconnects.
 	 */
 	set_int(socket, ZMQ_HEARTBEAT_IVL, HEARTBEAT_INTERVAL_MS);
 	set_int(socket, ZMQ_HEARTBEAT_TIMEOUT, HEARTBEAT_TIMEOUT_MS);
 	/*
-	 * The kernel's own pause between tries at a host that is away grows to
-	 * many seconds, and a peer that is paused or cut off before it has
-	 * answered the library's greeting would hold the link for half a minute.
+	 * By default the kernel retries to connect to an unreachable host at
+	 * intervals of up to many seconds, and a peer that is paused or
+	 * disconnected during ZeroMQ's handshake would block the link for 30 s.
 	 */
 	set_int(socket, ZMQ_CONNECT_TIMEOUT, CONNECT_TIMEOUT_MS);
 	set_int(socket, ZMQ_HANDSHAKE_IVL, HANDSHAKE_TIMEOUT_MS);
@@ -140,7 +142,7 @@
 		if (!more)
 			deliver(p, &from, &body);
 		while (more) {
-			/* No message of ours has more parts. */
+			/* Drop it: messages between nodes have one part. */
 			zmq_msg_close(&body);
 			zmq_msg_init(&body);
 			zmq_msg_recv(&body, p->router, ZMQ_DONTWAIT);
@@ -165,7 +167,10 @@
 	g_free(w);
 }
 
-/* Hand a message to the library, which owns it then. */
+/*
+ * Pass a message to ZeroMQ, which then owns it. Returns false when the socket
+ * is not connected or its queue is full.
+ */
 static bool pass_to_zmq(void *socket, zmq_msg_t *body)
 {
 	size_t len = zmq_msg_size(body);
@@ -180,7 +185,7 @@
 	return true;
 }
 
-/* Send what waited for a connection. Returns whether nothing waits any more. */
+/* Send the queued messages. Returns whether the queue is empty. */
 static bool flush_queued(struct peer_link *l)
 {
 	while (!g_queue_is_empty(&l->queued)) {
@@ -212,7 +217,7 @@
 	return got;
 }
 
-/* Whether a socket has something to read or can be sent on. */
+/* Whether the link's socket has a message to read or can be sent on. */
 static bool has_event(const struct peer_link *l)
 {
 	int events = 0;
@@ -223,8 +228,9 @@
 }
 
 /*
- * A handler may close the link that it was called from, so look it up again
- * after each message.
+ * Receive all messages of a link and send its queued ones. A handler may close
+ * the link whose message it handles, so the link is looked up after each
+ * message.
  */
 static void process_link(struct peers *p, const char *address)
 {
@@ -258,9 +264,10 @@
 }
 
 /*
- * The descriptor of a ZeroMQ socket signals edges, and a send may swallow one.
- * What was sent on must be looked at before the loop sleeps, or messages that
- * have come stay unread until the next one.
+ * The file descriptor of a ZeroMQ socket is edge-triggered, and a send may
+ * consume the edge of a message that has arrived. So each socket that was sent
+ * on is read before the event loop blocks; otherwise that message would stay
+ * unread until the next one arrives.
  */
 static void on_prepare(struct ev_loop *loop, ev_prepare *w, int events)
 {
@@ -330,10 +337,10 @@
 	p->context = zmq_ctx_new();
 	p->router = zmq_socket(p->context, ZMQ_ROUTER);
 	set_common_options(p->router);
-	/* A last word needs a moment to go out. */
+	/* On close, allow time to send the last messages. */
 	set_int(p->router, ZMQ_LINGER, ROUTER_LINGER_MS);
 	set_int(p->router, ZMQ_ROUTER_HANDOVER, 1);
-	/* What cannot be sent is an error, and not dropped in silence. */
+	/* Report a message that cannot be sent instead of dropping it. */
 	set_int(p->router, ZMQ_ROUTER_MANDATORY, 1);
 	p->links =
 		g_hash_table_new_full(g_str_hash, g_str_equal, NULL, link_free);
@@ -357,7 +364,6 @@
 	return RESULT_OK;
 }
 
-/* Close every link and stop listening. */
 void peers_finish(struct peers *p)
 {
 	ev_io_stop(p->loop, &p->router_io);
@@ -383,14 +389,16 @@
 	l->dealer = zmq_socket(p->context, ZMQ_DEALER);
 	set_common_options(l->dealer);
 	/*
-	 * What the library has taken may go out at any later time. It takes
-	 * nothing without a connection, so that a request for a peer that is
-	 * gone stays ours, to be sent to another.
+	 * ZeroMQ may send a message that it has accepted at any later time.
+	 * With this option it accepts none without a connection, so that a
+	 * request for an unreachable peer can be sent to another peer instead.
 	 */
 	set_int(l->dealer, ZMQ_IMMEDIATE, 1);
 	g_queue_init(&l->queued);
-	/* A new identity each time, so that answers to the old link are lost
-	 * rather than taken for answers on this one. */
+	/*
+	 * Each link has a new identity, so that answers to an earlier link are
+	 * lost instead of being received as answers on this one.
+	 */
 	g_snprintf(strrchr(p->identity, '/'), 10, "/%08x", g_random_int());
 	zmq_setsockopt(l->dealer, ZMQ_ROUTING_ID, p->identity,
 		       strlen(p->identity));
@@ -421,7 +429,10 @@
 	memcpy(out + 1, data, len);
 }
 
-/* A link to send on, or NULL; it is looked at before the loop sleeps. */
+/*
+ * The link to send to a peer on, opened if needed, or NULL. It is marked to be
+ * read before the event loop blocks.
+ */
 static struct peer_link *get_link(struct peers *p, const char *address)
 {
 	struct peer_link *l = find_or_open_link(p, address);
@@ -459,7 +470,7 @@
 	       clock_now_ms() - l->opened_at_ms < PEER_CONNECT_TIMEOUT_MS;
 }
 
-/* tag: 0 what may wait for a connection, however long that takes. */
+/* tag: 0 for a message that may stay queued for any length of time. */
 static int send_or_queue(struct peer_link *l, uint64_t tag, zmq_msg_t *body)
 {
 	if (flush_queued(l) && pass_to_zmq(l->dealer, body)) {
@@ -555,7 +566,7 @@
 {
 	g_autofree char *address = address_of(identity, identity_len);
 
-	/* A cut for a test is one that nobody is told of. */
+	/* A link that a test has blocked looks connected, like a dead one. */
 	if (g_hash_table_contains(p->blocked, address))
 		return true;
 	p->router_needs_check = true;
@@ -586,7 +597,6 @@
 		g_hash_table_remove(p->blocked, address);
 }
 
-/* Links now open to peers. */
 uint32_t peers_n_links(const struct peers *p)
 {
 	return g_hash_table_size(p->links);
--- a/net/request-msg.c
+++ b/net/request-msg.c
@@ -25,7 +25,6 @@
 		msgpack_pack_str_body(pk, s, len);
 }
 
-/* Append the encoded message to out. */
 void request_msg_encode(const struct request_msg *m, GByteArray *out)
 {
 	const int64_t numbers[N_NUMBERS] = {
@@ -180,7 +179,6 @@
 	return err;
 }
 
-/* Release what decoding allocated. */
 void request_msg_finish(struct request_msg *m)
 {
 	if (m->headers)
--- a/net/request-msg.h
+++ b/net/request-msg.h
@@ -5,72 +5,75 @@
 #include <glib.h>
 
 /*
- * Messages between the entry that took a request and the gate that serves it.
- * An answer is matched by the entry's origin and the attempt's number; its end
- * carries length and digest, so that a cut or mixed-up answer shows.
+ * Messages between the entry that received a request and the gate that serves
+ * it. An answer is matched to its attempt by origin and id. Its last part
+ * carries the length and digest of the body, so that a truncated answer, or one
+ * with data of another request, is detected.
  */
 enum request_msg_type {
-	REQ_SUBMIT = 1, /* a whole request */
-	REQ_CREDIT, /* number: bytes of the answer taken */
-	REQ_CANCEL, /* the entry wants no answer any more */
-	REQ_HEAD, /* status, headers and the first data of an answer */
+	REQ_SUBMIT = 1, /* a complete request */
+	REQ_CREDIT, /* flow control; number: bytes of the answer consumed */
+	REQ_CANCEL, /* the entry needs no answer any more */
+	REQ_HEAD, /* status, headers and first data of an answer */
 	REQ_DATA, /* more data */
-	REQ_REFUSED, /* not run; number: result, wait_ms: when to come back */
-	REQ_FAILED, /* may have run, or its id before; number: result */
-	REQ_STALLED, /* the backend server stalls; wait_ms: avoid it so long */
-	REQ_CONFIRM, /* is it still wanted? sent_ms: by the gate's clock */
-	REQ_CONFIRMED, /* it is; number: sent_ms of the question */
-	REQ_STOPPING, /* the gate has said all; to: its member, key: its address
-		       */
-	REQ_STOPPING_ACK, /* the entry has read that, and sends nothing more */
+	REQ_REFUSED, /* not run; number: result, wait_ms: when to retry */
+	REQ_FAILED, /* it or one of its id may have run; number: result */
+	REQ_STALLED, /* backend server stalled; wait_ms: how long to avoid it */
+	REQ_CONFIRM, /* is the answer still needed? sent_at_ms: gate's clock */
+	REQ_CONFIRMED, /* it is; number: sent_at_ms of REQ_CONFIRM */
+	REQ_STOPPING, /* gate sends no more answers; key: its peer address */
+	REQ_STOPPING_ACK, /* the entry has read it and sends nothing more */
 	REQ_N_TYPES,
 };
 
 #define REQ_FLAG_END 1 /* last part of the answer */
 #define REQ_FLAG_KEYED 2 /* served only by the owner of the shard */
-#define REQ_FLAG_REPEATABLE 4 /* asked: may run more than once */
-#define REQ_FLAG_FIRST_SENDING 8 /* asked: its id was never sent before */
-#define REQ_FLAG_BY_SERVER 16 /* refused: by the backend server itself */
-#define REQ_FLAG_TRACED 32 /* asked: log all that happens to it */
-#define REQ_FLAG_STARTED 64 /* failed: a backend server has got it */
+#define REQ_FLAG_REPEATABLE 4 /* submit: may run more than once */
+#define REQ_FLAG_FIRST_SENDING 8 /* submit: its id was never sent before */
+#define REQ_FLAG_BY_SERVER 16 /* refused: by the backend server */
+#define REQ_FLAG_TRACED 32 /* submit: log each event of the request */
+#define REQ_FLAG_STARTED 64 /* failed: it was sent to a backend server */
 
 struct request_msg {
 	enum request_msg_type type;
-	uint64_t origin; /* one entry process */
-	uint64_t id; /* one attempt of it */
-	int64_t gate_member; /* asked: the member meant */
+	uint64_t origin; /* identifies the entry's process */
+	uint64_t id; /* number of the attempt, unique within origin */
+	int64_t gate_member; /* member id of the gate that gets or sends this */
 	int64_t shard;
-	int64_t target_ms; /* asked: time wanted, from now */
-	int64_t priority; /* asked: 0 first */
-	int64_t resend_window_ms; /* asked: how long its id may come again */
-	int64_t sent_at_ms; /* asked: the entry's clock when sending */
-	int64_t deadline_ms; /* asked: time left then */
+	int64_t target_ms; /* submit: target for the answer, from sending on */
+	int64_t priority; /* submit: 0 is the highest */
+	int64_t resend_window_ms; /* submit: how long its id may be resent */
+	int64_t sent_at_ms; /* submit: the entry's clock when it was sent */
+	int64_t deadline_ms; /* submit: time left at sent_at_ms */
 	int64_t flags;
 	int64_t status;
 	int64_t number;
 	int64_t wait_ms;
-	int64_t body_length; /* end: length of the whole body */
-	uint64_t body_digest; /* end: hash of the whole body */
-	int64_t load; /* what the gate has, in flight and waiting */
-	int64_t limit; /* and how much it works on at once */
+	int64_t body_length; /* last part: length of the whole body */
+	uint64_t body_digest; /* last part: XXH64 of the whole body */
+	int64_t load; /* the gate's requests, in flight and queued */
+	int64_t limit; /* the gate's limit of requests in flight */
 	const char *method;
 	const char *url;
 	const char *class_name;
 	const char *key;
 	const char *idempotency_key;
-	GPtrArray *headers; /* name and value in turn, or NULL */
-	const void *data; /* not owned; into the message when decoded */
+	GPtrArray *headers; /* names and values, alternating, or NULL */
+	const void *data; /* not owned; when decoded, part of the input */
 	size_t len;
-	GStringChunk *strings; /* decoded strings */
+	GStringChunk *strings; /* memory of the decoded strings */
 };
 
+/* Append the encoded message to out. */
 void request_msg_encode(const struct request_msg *m, GByteArray *out);
 
 /*
- * Decode; data points into the input, the rest is owned until
- * request_msg_finish(). Returns RESULT_OK or RESULT_INVALID.
+ * Decode a message. m->data points into the input; all else in m is released by
+ * request_msg_finish(). Returns RESULT_OK, or RESULT_INVALID with m cleared.
  */
 int request_msg_decode(struct request_msg *m, const void *data, size_t len);
+
+/* Release what decoding allocated. */
 void request_msg_finish(struct request_msg *m);
 
 #endif
