--- a/net/log-client.h
+++ b/net/log-client.h
@@ -137,7 +137,7 @@
  * Called when a record is known to exist that the current read should have
  * returned by now: cancel that read and send a new one on another connection.
  * If no read is in flight, send one at once, unless the last one failed. No
- * effect on a read younger than RESTART_MIN_AGE_MS, on one that was itself
+ * effect on a read sent less than half a second ago, on one that was itself
  * restarted, or while scanning.
  */
 void log_client_restart_read(struct log_client *c);
--- a/net/pipeline.c
+++ b/net/pipeline.c
@@ -111,7 +111,7 @@
 	r->url = g_strdup(h.url->str);
 	r->path = g_strndup(r->url, strcspn(r->url, "?"));
 	/*
-	 * Only libmicrohttpd decodes paths: a request with a percent-encoded
+	 * Only libmicrohttpd decodes URLs: a request with a percent-encoded
 	 * one is not begun early.
 	 */
 	if (!h.complete || !h.may_start || strchr(r->url, '%') ||
