--- a/net/peer.c
+++ b/net/peer.c
@@ -14,35 +14,36 @@
 #define HEARTBEAT_TIMEOUT_MS 2500
 #define CONNECT_TIMEOUT_MS 1000
 #define HANDSHAKE_TIMEOUT_MS 2000
-#define RECONNECT_MS 50
+#define RECONNECT_MIN_MS 50
 #define RECONNECT_MAX_MS 1000
 #define QUEUE_MESSAGES 2000
 /*
- * The library aborts the process when a connection fails whose reading it had
- * stopped for a full queue, so that queue is made not to fill.
+ * ZeroMQ stops reading a connection while its receive queue is full, and aborts
+ * the process if that connection then fails. This limit is high enough that the
+ * queue does not fill.
  */
 #define RECEIVE_QUEUE_MESSAGES 50000
 #define IDLE_CLOSE_MS 30000
-#define LAST_WORD_MS 100
-#define SWEEP_S 1.0
-/* A message that says nothing: it is sent to learn whether it can be. */
-#define PROBE "p"
+#define ROUTER_LINGER_MS 100
+#define IDLE_CHECK_S 1.0
+/* Sent to find out whether a link is connected; the receiver ignores it. */
+#define PROBE_MESSAGE "p"
 
 struct peer_link {
 	struct peers *peers;
 	char *address;
 	void *dealer;
 	ev_io io;
-	bool dirty;
-	bool was_up;
-	GQueue waiting; /* struct waiting_message, for a connection */
-	int64_t opened_ms;
-	int64_t used_ms;
-	int64_t heard_ms;
+	bool needs_check;
+	bool was_connected;
+	GQueue queued; /* struct queued_message, until it is connected */
+	int64_t opened_at_ms;
+	int64_t last_used_at_ms;
+	int64_t last_received_at_ms;
 };
 
-struct waiting_message {
-	uint64_t tag; /* 0: not to be taken back */
+struct queued_message {
+	uint64_t tag; /* 0: cannot be cancelled */
 	zmq_msg_t body;
 };
 
@@ -51,7 +52,7 @@
 	zmq_setsockopt(socket, option, &value, sizeof(value));
 }
 
-static void set_common(void *socket)
+static void set_common_options(void *socket)
 {
 	int64_t max = MAX_MESSAGE_BYTES;
 
@@ -59,25 +60,26 @@
 	set_int(socket, ZMQ_SNDHWM, QUEUE_MESSAGES);
 	set_int(socket, ZMQ_RCVHWM, RECEIVE_QUEUE_MESSAGES);
 	/*
-	 * A connection can go silent for good when something between the two
-	 * ends has lost track of it: sends go on to succeed and nothing comes
-	 * back. Unanswered pings make the library drop it and connect anew.
+	 * A connection can become dead without a reset, for example when a
+	 * firewall or NAT between the two ends drops its state: sends continue
+	 * to succeed but no answer arrives. ZeroMQ closes a connection whose
+	 * heartbeats are not answered, and reconnects.
 	 */
 	set_int(socket, ZMQ_HEARTBEAT_IVL, HEARTBEAT_INTERVAL_MS);
 	set_int(socket, ZMQ_HEARTBEAT_TIMEOUT, HEARTBEAT_TIMEOUT_MS);
 	/*
-	 * The kernel's own pause between tries at a host that is away grows to
-	 * many seconds, and a peer that is paused or cut off before it has
-	 * answered the library's greeting would hold the link for half a minute.
+	 * By default the kernel retries to connect to an unreachable host at
+	 * intervals of up to many seconds, and a peer that is paused or
+	 * disconnected during ZeroMQ's handshake would block the link for 30 s.
 	 */
 	set_int(socket, ZMQ_CONNECT_TIMEOUT, CONNECT_TIMEOUT_MS);
 	set_int(socket, ZMQ_HANDSHAKE_IVL, HANDSHAKE_TIMEOUT_MS);
-	set_int(socket, ZMQ_RECONNECT_IVL, RECONNECT_MS);
+	set_int(socket, ZMQ_RECONNECT_IVL, RECONNECT_MIN_MS);
 	set_int(socket, ZMQ_RECONNECT_IVL_MAX, RECONNECT_MAX_MS);
 	zmq_setsockopt(socket, ZMQ_MAXMSGSIZE, &max, sizeof(max));
 }
 
-static int descriptor(void *socket)
+static int socket_fd(void *socket)
 {
 	int fd = -1;
 	size_t len = sizeof(fd);
@@ -94,7 +96,7 @@
 
 	if (g_hash_table_contains(p->blocked, from->address))
 		return;
-	if (len == strlen(PROBE) && !memcmp(data, PROBE, len))
+	if (len == strlen(PROBE_MESSAGE) && !memcmp(data, PROBE_MESSAGE, len))
 		return;
 	if (!len || (data[0] != PLANE_MEMBER && data[0] != PLANE_REQUEST)) {
 		COUNT(peer_messages_malformed);
@@ -140,7 +142,7 @@
 		if (!more)
 			deliver(p, &from, &body);
 		while (more) {
-			/* No message of ours has more parts. */
+			/* Drop it: messages between nodes have one part. */
 			zmq_msg_close(&body);
 			zmq_msg_init(&body);
 			zmq_msg_recv(&body, p->router, ZMQ_DONTWAIT);
@@ -152,21 +154,24 @@
 	return got;
 }
 
-static void pump_router(struct peers *p)
+static void receive_inbound_all(struct peers *p)
 {
-	p->router_dirty = false;
+	p->router_needs_check = false;
 	while (receive_inbound(p))
 		;
 }
 
-static void waiting_free(struct waiting_message *w)
+static void queued_message_free(struct queued_message *w)
 {
 	zmq_msg_close(&w->body);
 	g_free(w);
 }
 
-/* Hand a message to the library, which owns it then. */
-static bool hand_over(void *socket, zmq_msg_t *body)
+/*
+ * Pass a message to ZeroMQ, which then owns it. Returns false when the socket
+ * is not connected or its queue is full.
+ */
+static bool pass_to_zmq(void *socket, zmq_msg_t *body)
 {
 	size_t len = zmq_msg_size(body);
 	char plane = *(const char *)zmq_msg_data(body);
@@ -180,17 +185,17 @@
 	return true;
 }
 
-/* Send what waited for a connection. Returns whether nothing waits any more. */
-static bool flush_waiting(struct peer_link *l)
+/* Send the queued messages. Returns whether the queue is empty. */
+static bool flush_queued(struct peer_link *l)
 {
-	while (!g_queue_is_empty(&l->waiting)) {
-		struct waiting_message *w = g_queue_peek_head(&l->waiting);
+	while (!g_queue_is_empty(&l->queued)) {
+		struct queued_message *w = g_queue_peek_head(&l->queued);
 
-		if (!hand_over(l->dealer, &w->body))
+		if (!pass_to_zmq(l->dealer, &w->body))
 			return false;
-		l->was_up = true;
-		g_queue_pop_head(&l->waiting);
-		waiting_free(w);
+		l->was_connected = true;
+		g_queue_pop_head(&l->queued);
+		queued_message_free(w);
 	}
 	return true;
 }
@@ -204,16 +209,16 @@
 	zmq_msg_init(&body);
 	got = zmq_msg_recv(&body, l->dealer, ZMQ_DONTWAIT) >= 0;
 	if (got) {
-		l->heard_ms = clock_now_ms();
-		l->used_ms = l->heard_ms;
+		l->last_received_at_ms = clock_now_ms();
+		l->last_used_at_ms = l->last_received_at_ms;
 		deliver(l->peers, &from, &body);
 	}
 	zmq_msg_close(&body);
 	return got;
 }
 
-/* Whether a socket has something to read or can be sent on. */
-static bool usable(const struct peer_link *l)
+/* Whether the link's socket has a message to read or can be sent on. */
+static bool has_event(const struct peer_link *l)
 {
 	int events = 0;
 	size_t len = sizeof(events);
@@ -223,21 +228,22 @@
 }
 
 /*
- * A handler may close the link that it was called from, so look it up again
- * after each message.
+ * Receive all messages of a link and send its queued ones. A handler may close
+ * the link whose message it handles, so the link is looked up after each
+ * message.
  */
-static void pump_link(struct peers *p, const char *address)
+static void process_link(struct peers *p, const char *address)
 {
 	g_autofree char *key = g_strdup(address);
 	struct peer_link *l;
 
 	while ((l = g_hash_table_lookup(p->links, key))) {
-		l->dirty = false;
+		l->needs_check = false;
 		if (receive_answer(l))
 			continue;
-		if (g_queue_is_empty(&l->waiting) || !usable(l))
+		if (g_queue_is_empty(&l->queued) || !has_event(l))
 			return;
-		flush_waiting(l);
+		flush_queued(l);
 	}
 }
 
@@ -245,7 +251,7 @@
 {
 	(void)loop;
 	(void)events;
-	pump_router(w->data);
+	receive_inbound_all(w->data);
 }
 
 static void on_link(struct ev_loop *loop, ev_io *w, int events)
@@ -254,13 +260,14 @@
 
 	(void)loop;
 	(void)events;
-	pump_link(l->peers, l->address);
+	process_link(l->peers, l->address);
 }
 
 /*
- * The descriptor of a ZeroMQ socket signals edges, and a send may swallow one.
- * What was sent on must be looked at before the loop sleeps, or messages that
- * have come stay unread until the next one.
+ * The file descriptor of a ZeroMQ socket is edge-triggered, and a send may
+ * consume the edge of a message that has arrived. So each socket that was sent
+ * on is read before the event loop blocks; otherwise that message would stay
+ * unread until the next one arrives.
  */
 static void on_prepare(struct ev_loop *loop, ev_prepare *w, int events)
 {
@@ -268,15 +275,16 @@
 
 	(void)loop;
 	(void)events;
-	while (p->router_dirty || p->dirty->len) {
+	while (p->router_needs_check || p->links_to_check->len) {
 		struct peer_link *l;
 
-		if (p->router_dirty)
-			pump_router(p);
-		if (!p->dirty->len)
+		if (p->router_needs_check)
+			receive_inbound_all(p);
+		if (!p->links_to_check->len)
 			continue;
-		l = g_ptr_array_remove_index_fast(p->dirty, p->dirty->len - 1);
-		pump_link(p, l->address);
+		l = g_ptr_array_remove_index_fast(p->links_to_check,
+						  p->links_to_check->len - 1);
+		process_link(p, l->address);
 	}
 }
 
@@ -284,16 +292,16 @@
 {
 	struct peer_link *l = data;
 
-	g_ptr_array_remove_fast(l->peers->dirty, l);
+	g_ptr_array_remove_fast(l->peers->links_to_check, l);
 	ev_io_stop(l->peers->loop, &l->io);
-	g_queue_clear_full(&l->waiting, (GDestroyNotify)waiting_free);
+	g_queue_clear_full(&l->queued, (GDestroyNotify)queued_message_free);
 	zmq_close(l->dealer);
 	g_free(l->address);
 	g_free(l);
 	COUNT(peer_links_closed);
 }
 
-static void on_sweep(struct ev_loop *loop, ev_timer *w, int events)
+static void on_idle_timer(struct ev_loop *loop, ev_timer *w, int events)
 {
 	struct peers *p = w->data;
 	int64_t now = clock_now_ms();
@@ -306,7 +314,7 @@
 	while (g_hash_table_iter_next(&it, NULL, &value)) {
 		struct peer_link *l = value;
 
-		if (now - l->used_ms > p->idle_close_ms)
+		if (now - l->last_used_at_ms > p->idle_close_ms)
 			g_hash_table_iter_remove(&it);
 	}
 }
@@ -328,47 +336,47 @@
 		   g_random_int());
 	p->context = zmq_ctx_new();
 	p->router = zmq_socket(p->context, ZMQ_ROUTER);
-	set_common(p->router);
-	/* A last word needs a moment to go out. */
-	set_int(p->router, ZMQ_LINGER, LAST_WORD_MS);
+	set_common_options(p->router);
+	/* On close, allow time to send the last messages. */
+	set_int(p->router, ZMQ_LINGER, ROUTER_LINGER_MS);
 	set_int(p->router, ZMQ_ROUTER_HANDOVER, 1);
-	/* What cannot be sent is an error, and not dropped in silence. */
+	/* Report a message that cannot be sent instead of dropping it. */
 	set_int(p->router, ZMQ_ROUTER_MANDATORY, 1);
 	p->links =
 		g_hash_table_new_full(g_str_hash, g_str_equal, NULL, link_free);
-	p->dirty = g_ptr_array_new();
+	p->links_to_check = g_ptr_array_new();
 	p->blocked =
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
-	ev_io_init(&p->router_io, on_router, descriptor(p->router), EV_READ);
+	ev_io_init(&p->router_io, on_router, socket_fd(p->router), EV_READ);
 	ev_prepare_init(&p->prepare, on_prepare);
-	ev_timer_init(&p->sweep, on_sweep, SWEEP_S, SWEEP_S);
+	ev_timer_init(&p->idle_timer, on_idle_timer, IDLE_CHECK_S,
+		      IDLE_CHECK_S);
 	p->router_io.data = p;
 	p->prepare.data = p;
-	p->sweep.data = p;
+	p->idle_timer.data = p;
 	if (zmq_bind(p->router, endpoint)) {
 		peers_finish(p);
 		return RESULT_IO;
 	}
 	ev_io_start(loop, &p->router_io);
 	ev_prepare_start(loop, &p->prepare);
-	ev_timer_start(loop, &p->sweep);
+	ev_timer_start(loop, &p->idle_timer);
 	return RESULT_OK;
 }
 
-/* Close every link and stop listening. */
 void peers_finish(struct peers *p)
 {
 	ev_io_stop(p->loop, &p->router_io);
 	ev_prepare_stop(p->loop, &p->prepare);
-	ev_timer_stop(p->loop, &p->sweep);
+	ev_timer_stop(p->loop, &p->idle_timer);
 	g_hash_table_unref(p->links);
 	g_hash_table_unref(p->blocked);
-	g_ptr_array_unref(p->dirty);
+	g_ptr_array_unref(p->links_to_check);
 	zmq_close(p->router);
 	zmq_ctx_term(p->context);
 }
 
-static struct peer_link *open_link(struct peers *p, const char *address)
+static struct peer_link *find_or_open_link(struct peers *p, const char *address)
 {
 	g_autofree char *endpoint = g_strdup_printf("tcp://%s", address);
 	struct peer_link *l = g_hash_table_lookup(p->links, address);
@@ -379,20 +387,22 @@
 	l->peers = p;
 	l->address = g_strdup(address);
 	l->dealer = zmq_socket(p->context, ZMQ_DEALER);
-	set_common(l->dealer);
+	set_common_options(l->dealer);
 	/*
-	 * What the library has taken may go out at any later time. It takes
-	 * nothing without a connection, so that a request for a peer that is
-	 * gone stays ours, to be sent to another.
+	 * ZeroMQ may send a message that it has accepted at any later time.
+	 * With this option it accepts none without a connection, so that a
+	 * request for an unreachable peer can be sent to another peer instead.
 	 */
 	set_int(l->dealer, ZMQ_IMMEDIATE, 1);
-	g_queue_init(&l->waiting);
-	/* A new identity each time, so that answers to the old link are lost
-	 * rather than taken for answers on this one. */
+	g_queue_init(&l->queued);
+	/*
+	 * Each link has a new identity, so that answers to an earlier link are
+	 * lost instead of being received as answers on this one.
+	 */
 	g_snprintf(strrchr(p->identity, '/'), 10, "/%08x", g_random_int());
 	zmq_setsockopt(l->dealer, ZMQ_ROUTING_ID, p->identity,
 		       strlen(p->identity));
-	ev_io_init(&l->io, on_link, descriptor(l->dealer), EV_READ);
+	ev_io_init(&l->io, on_link, socket_fd(l->dealer), EV_READ);
 	l->io.data = l;
 	if (zmq_connect(l->dealer, endpoint)) {
 		zmq_close(l->dealer);
@@ -401,8 +411,8 @@
 		return NULL;
 	}
 	ev_io_start(p->loop, &l->io);
-	l->opened_ms = clock_now_ms();
-	l->used_ms = l->opened_ms;
+	l->opened_at_ms = clock_now_ms();
+	l->last_used_at_ms = l->opened_at_ms;
 	g_hash_table_insert(p->links, l->address, l);
 	COUNT(peer_links_opened);
 	return l;
@@ -419,33 +429,35 @@
 	memcpy(out + 1, data, len);
 }
 
-/* A link to send on, or NULL; it is looked at before the loop sleeps. */
-static struct peer_link *use_link(struct peers *p, const char *address)
+/*
+ * The link to send to a peer on, opened if needed, or NULL. It is marked to be
+ * read before the event loop blocks.
+ */
+static struct peer_link *get_link(struct peers *p, const char *address)
 {
-	struct peer_link *l = open_link(p, address);
+	struct peer_link *l = find_or_open_link(p, address);
 
 	if (!l)
 		return NULL;
-	l->used_ms = clock_now_ms();
-	if (!l->dirty)
-		g_ptr_array_add(p->dirty, l);
-	l->dirty = true;
+	l->last_used_at_ms = clock_now_ms();
+	if (!l->needs_check)
+		g_ptr_array_add(p->links_to_check, l);
+	l->needs_check = true;
 	return l;
 }
 
-static void wait_for_connection(struct peer_link *l, uint64_t tag,
-				zmq_msg_t *body)
+static void enqueue(struct peer_link *l, uint64_t tag, zmq_msg_t *body)
 {
-	struct waiting_message *w = g_new(struct waiting_message, 1);
+	struct queued_message *w = g_new(struct queued_message, 1);
 
 	w->tag = tag;
 	zmq_msg_init(&w->body);
 	zmq_msg_move(&w->body, body);
 	zmq_msg_close(body);
-	g_queue_push_tail(&l->waiting, w);
+	g_queue_push_tail(&l->queued, w);
 }
 
-static int drop(zmq_msg_t *body, int result)
+static int drop_message(zmq_msg_t *body, int result)
 {
 	zmq_msg_close(body);
 	COUNT(peer_sends_dropped);
@@ -454,21 +466,22 @@
 
 static bool is_connecting(const struct peer_link *l)
 {
-	return !l->was_up && clock_now_ms() - l->opened_ms < PEER_CONNECT_MS;
+	return !l->was_connected &&
+	       clock_now_ms() - l->opened_at_ms < PEER_CONNECT_TIMEOUT_MS;
 }
 
-/* tag: 0 what may wait for a connection, however long that takes. */
-static int send_on(struct peer_link *l, uint64_t tag, zmq_msg_t *body)
+/* tag: 0 for a message that may stay queued for any length of time. */
+static int send_or_queue(struct peer_link *l, uint64_t tag, zmq_msg_t *body)
 {
-	if (flush_waiting(l) && hand_over(l->dealer, body)) {
-		l->was_up = true;
+	if (flush_queued(l) && pass_to_zmq(l->dealer, body)) {
+		l->was_connected = true;
 		return RESULT_OK;
 	}
 	if (tag && !is_connecting(l))
-		return drop(body, RESULT_UNREACHABLE);
-	if (l->waiting.length >= QUEUE_MESSAGES)
-		return drop(body, RESULT_OVERLOAD);
-	wait_for_connection(l, tag, body);
+		return drop_message(body, RESULT_UNREACHABLE);
+	if (l->queued.length >= QUEUE_MESSAGES)
+		return drop_message(body, RESULT_OVERLOAD);
+	enqueue(l, tag, body);
 	return RESULT_OK;
 }
 
@@ -481,11 +494,11 @@
 
 	if (g_hash_table_contains(p->blocked, address))
 		return RESULT_OK;
-	l = use_link(p, address);
+	l = get_link(p, address);
 	if (!l)
 		return RESULT_UNREACHABLE;
 	fill_body(&body, plane, data, len);
-	return send_on(l, tag, &body);
+	return send_or_queue(l, tag, &body);
 }
 
 int peers_send(struct peers *p, const char *address, enum peer_plane plane,
@@ -494,38 +507,38 @@
 	return peers_send_tagged(p, address, plane, 0, data, len);
 }
 
-static GList *find_waiting(const struct peers *p, const char *address,
-			   uint64_t tag)
+static GList *find_queued(const struct peers *p, const char *address,
+			  uint64_t tag)
 {
 	struct peer_link *l = g_hash_table_lookup(p->links, address);
 	GList *i;
 
-	for (i = l ? l->waiting.head : NULL; i; i = i->next)
-		if (((struct waiting_message *)i->data)->tag == tag)
+	for (i = l ? l->queued.head : NULL; i; i = i->next)
+		if (((struct queued_message *)i->data)->tag == tag)
 			return i;
 	return NULL;
 }
 
-bool peers_is_waiting(const struct peers *p, const char *address, uint64_t tag)
+bool peers_is_queued(const struct peers *p, const char *address, uint64_t tag)
 {
-	return find_waiting(p, address, tag);
+	return find_queued(p, address, tag);
 }
 
-bool peers_take_back(struct peers *p, const char *address, uint64_t tag)
+bool peers_cancel_queued(struct peers *p, const char *address, uint64_t tag)
 {
 	struct peer_link *l = g_hash_table_lookup(p->links, address);
-	GList *i = find_waiting(p, address, tag);
+	GList *i = find_queued(p, address, tag);
 
 	if (!i)
 		return false;
-	waiting_free(i->data);
-	g_queue_delete_link(&l->waiting, i);
+	queued_message_free(i->data);
+	g_queue_delete_link(&l->queued, i);
 	return true;
 }
 
-void peers_read(struct peers *p)
+void peers_receive(struct peers *p)
 {
-	pump_router(p);
+	receive_inbound_all(p);
 }
 
 int peers_answer(struct peers *p, const void *identity, size_t identity_len,
@@ -536,42 +549,44 @@
 
 	if (g_hash_table_contains(p->blocked, address))
 		return RESULT_OK;
-	p->router_dirty = true;
+	p->router_needs_check = true;
 	if (zmq_send(p->router, identity, identity_len,
 		     ZMQ_SNDMORE | ZMQ_DONTWAIT) < 0) {
 		COUNT(peer_sends_dropped);
 		return RESULT_OVERLOAD;
 	}
 	fill_body(&body, plane, data, len);
-	return hand_over(p->router, &body) ? RESULT_OK
-					   : drop(&body, RESULT_OVERLOAD);
+	return pass_to_zmq(p->router, &body)
+		       ? RESULT_OK
+		       : drop_message(&body, RESULT_OVERLOAD);
 }
 
-bool peers_reaches(struct peers *p, const void *identity, size_t identity_len)
+bool peers_is_connected(struct peers *p, const void *identity,
+			size_t identity_len)
 {
 	g_autofree char *address = address_of(identity, identity_len);
 
-	/* A cut for a test is one that nobody is told of. */
+	/* A link that a test has blocked looks connected, like a dead one. */
 	if (g_hash_table_contains(p->blocked, address))
 		return true;
-	p->router_dirty = true;
+	p->router_needs_check = true;
 	if (zmq_send(p->router, identity, identity_len,
 		     ZMQ_SNDMORE | ZMQ_DONTWAIT) < 0)
 		return zmq_errno() != EHOSTUNREACH;
-	zmq_send(p->router, PROBE, strlen(PROBE), ZMQ_DONTWAIT);
+	zmq_send(p->router, PROBE_MESSAGE, strlen(PROBE_MESSAGE), ZMQ_DONTWAIT);
 	return true;
 }
 
-void peers_replace(struct peers *p, const char *address)
+void peers_close_link(struct peers *p, const char *address)
 {
 	g_hash_table_remove(p->links, address);
 }
 
-int64_t peers_heard_ms(const struct peers *p, const char *address)
+int64_t peers_last_received_at_ms(const struct peers *p, const char *address)
 {
 	struct peer_link *l = g_hash_table_lookup(p->links, address);
 
-	return l ? l->heard_ms : 0;
+	return l ? l->last_received_at_ms : 0;
 }
 
 void peers_block(struct peers *p, const char *address, bool block)
@@ -582,7 +597,6 @@
 		g_hash_table_remove(p->blocked, address);
 }
 
-/* Links now open to peers. */
 uint32_t peers_n_links(const struct peers *p)
 {
 	return g_hash_table_size(p->links);
--- a/node/entry.c
+++ b/node/entry.c
@@ -137,11 +137,11 @@
 	else
 		chooser_refused(&e->chooser, r->last_member, REFUSED_AVOID_MS,
 				now);
-	entry_take_step(r, plan_refused(&r->plan, number,
-					m->number == RESULT_NOT_OWNER,
-					m->flags & REQ_FLAG_REACHED, m->wait_ms,
-					entry_retry_budget(e, r->service),
-					g_rand_double(e->rand), now));
+	entry_take_step(
+		r, plan_refused(&r->plan, number, m->number == RESULT_NOT_OWNER,
+				m->flags & REQ_FLAG_BY_SERVER, m->wait_ms,
+				entry_retry_budget(e, r->service),
+				g_rand_double(e->rand), now));
 }
 
 static void update_gate_view(struct entry *e, struct attempt *a,
@@ -164,7 +164,7 @@
 /* The plan's event for a gate's report that a request may have run. */
 static enum attempt_event failure_event(const struct request_msg *m)
 {
-	if (!(m->flags & REQ_FLAG_BEGUN))
+	if (!(m->flags & REQ_FLAG_STARTED))
 		return ATTEMPT_EVENT_IN_DOUBT;
 	if (m->number == RESULT_TIMEOUT)
 		return ATTEMPT_EVENT_SERVER_LATE;
@@ -179,8 +179,9 @@
 static void on_gate_stopping(struct entry *e, const struct request_msg *m)
 {
 	/* 0: the log has already removed the gate's member. */
-	if (m->to)
-		chooser_gate_view(&e->chooser, m->to)->stop_announced = true;
+	if (m->gate_member)
+		chooser_gate_view(&e->chooser, m->gate_member)->stop_announced =
+			true;
 	entry_send_stopping_ack(e, m->key);
 }
 
@@ -193,10 +194,11 @@
 	uint32_t number;
 
 	if (m->type == REQ_STALLED) {
-		chooser_refused(&e->chooser, m->to, m->wait_ms, clock_now_ms());
+		chooser_refused(&e->chooser, m->gate_member, m->wait_ms,
+				clock_now_ms());
 		return;
 	}
-	if (m->type == REQ_ENDING) {
+	if (m->type == REQ_STOPPING) {
 		on_gate_stopping(e, m);
 		return;
 	}
@@ -214,7 +216,7 @@
 	update_gate_view(e, a, m);
 	switch (m->type) {
 	case REQ_CONFIRM:
-		entry_confirm_attempt(e, a, m->sent_ms);
+		entry_confirm_attempt(e, a, m->sent_at_ms);
 		break;
 	case REQ_HEAD:
 		entry_on_answer_head(r, a, m);
@@ -334,21 +336,21 @@
 	struct entry *e = r->entry;
 	double age_ms = (clock_now_us() - a->sent_at_us) / 1000.0;
 	int64_t last_received_at_ms =
-		peers_heard_ms(&e->node->peers, a->address);
+		peers_last_received_at_ms(&e->node->peers, a->address);
 	const struct gate_view *v = chooser_gate_view(&e->chooser, a->member);
 
 	if (r->winner == a)
 		return;
 	entry_update_sent(a);
 	if (r->plan.attempts[a->number].state == ATTEMPT_NOT_SENT &&
-	    (age_ms > PEER_CONNECT_MS || now >= r->plan.deadline_ms)) {
+	    (age_ms > PEER_CONNECT_TIMEOUT_MS || now >= r->plan.deadline_ms)) {
 		cancel_unsent(r, a);
 		return;
 	}
 	if (now >= r->plan.deadline_ms) {
 		if (a->member != e->node->member.self_id &&
 		    now - last_received_at_ms > LINK_TIMEOUT_MS)
-			peers_replace(&e->node->peers, a->address);
+			peers_close_link(&e->node->peers, a->address);
 		/*
 		 * A gate that has lately answered other requests is slow but
 		 * not lost.
@@ -432,7 +434,8 @@
 			struct attempt *a = r->attempts[j];
 
 			if (awaits_answer_from(r, j, member))
-				cancel_attempt(r, a, ATTEMPT_EVENT_PROCESS_ENDED,
+				cancel_attempt(r, a,
+					       ATTEMPT_EVENT_PROCESS_ENDED,
 					       RESULT_UNREACHABLE, true);
 			else if (a && a->member == member)
 				entry_end_answer(r, a, false);
@@ -465,7 +468,7 @@
  * A request that must not run twice may not: if the connection ended before its
  * turn, the caller would assume that it was never read and send it again.
  */
-static bool may_begin(void *user, const struct httpd_request *http)
+static bool may_begin_early(void *user, const struct httpd_request *http)
 {
 	struct entry *e = user;
 
@@ -493,7 +496,7 @@
 	 * A stopping process exits within seconds. A request accepted now would
 	 * be cut off then, while a backend server works on it.
 	 */
-	if (e->httpd.closed) {
+	if (e->httpd.stopped_listening) {
 		entry_reply_not_run(r, "this node is stopping\n");
 		return;
 	}
@@ -521,7 +524,7 @@
 	      ",\"open\":%u,\"tries\":%u,\"behind\":%u",
 	      event_text(r->class_name), r->plan.repeatable ? "true" : "false",
 	      clock_now_ms() - r->plan.received_at_ms, plan_n_open(&r->plan),
-	      r->plan.tries, httpd_behind(http));
+	      r->plan.tries, httpd_n_pipelined(http));
 	r->done = true;
 	entry_cancel_others(r, NULL);
 }
@@ -552,7 +555,7 @@
 
 	if (!r || !r->winner)
 		return;
-	consumed = r->received_bytes - (int64_t)httpd_pending(http);
+	consumed = r->received_bytes - (int64_t)httpd_unsent_bytes(http);
 	if (consumed - r->credited_bytes < CREDIT_MIN_BYTES)
 		return;
 	entry_send_credit(e, r->winner, consumed - r->credited_bytes);
@@ -561,8 +564,8 @@
 
 static const struct httpd_ops entry_ops = {
 	.on_request = on_request,
-	.on_gone = on_gone,
-	.may_begin = may_begin,
+	.on_caller_left = on_gone,
+	.may_begin_early = may_begin_early,
 	.on_closed = on_closed,
 	.on_drained = on_drained,
 };
@@ -601,7 +604,7 @@
 	e->configuration_version = f->configuration_version;
 	e->httpd.max_body_bytes =
 		MAX(e->node->settings.max_body_bytes, l->max_body_bytes);
-	if (httpd_accept_heads(&e->httpd, l->max_header_bytes))
+	if (httpd_raise_head_limit(&e->httpd, l->max_header_bytes))
 		g_warning("cannot raise the limit of request heads to %" PRId64
 			  " bytes",
 			  l->max_header_bytes);
@@ -628,7 +631,7 @@
 
 void entry_close(struct entry *e)
 {
-	httpd_close(&e->httpd);
+	httpd_stop_listening(&e->httpd);
 }
 
 /* The process is about to exit: no answer to an open attempt can be received. */
@@ -666,6 +669,6 @@
 
 bool entry_is_idle(const struct entry *e)
 {
-	return !e->requests->len &&
-	       (!e->httpd.closed || httpd_quiet(&e->httpd));
+	return !e->requests->len && (!e->httpd.stopped_listening ||
+				     httpd_has_no_connections(&e->httpd));
 }
--- a/node/gate-answer.c
+++ b/node/gate-answer.c
@@ -51,8 +51,8 @@
 	m.len = r->unsent_answer->len;
 	if (end) {
 		m.flags |= REQ_FLAG_END;
-		m.total = r->answer_bytes;
-		m.digest = XXH64_digest(&r->digest);
+		m.body_length = r->answer_bytes;
+		m.body_digest = XXH64_digest(&r->digest);
 	}
 	r->uncredited += r->unsent_answer->len;
 	r->head_sent = true;
@@ -90,7 +90,7 @@
 
 static double connect_ms(const struct gate_request *r)
 {
-	return (r->fetch.sent_us - r->started_at_us) / 1000.0;
+	return (r->fetch.sent_at_us - r->started_at_us) / 1000.0;
 }
 
 static void on_head(struct fetch *f)
--- a/node/gate-confirm.c
+++ b/node/gate-confirm.c
@@ -30,7 +30,7 @@
 	struct request_msg m = { .type = REQ_CONFIRM };
 
 	r->confirm_sent_at_ms = clock_now_ms();
-	m.sent_ms = r->confirm_sent_at_ms;
+	m.sent_at_ms = r->confirm_sent_at_ms;
 	COUNT(gate_confirms);
 	gate_send_for(r, &m);
 }
--- a/node/gate-health.c
+++ b/node/gate-health.c
@@ -37,7 +37,7 @@
 static void send_stall_notices(struct gate *g, int64_t now)
 {
 	struct request_msg m = { .type = REQ_STALLED,
-				 .to = g->node->member.self_id,
+				 .gate_member = g->node->member.self_id,
 				 .wait_ms = STALL_NOTICE_MS };
 	GHashTableIter it;
 	gpointer identity, entry;
--- a/node/gate-link-wait.c
+++ b/node/gate-link-wait.c
@@ -25,7 +25,7 @@
 	    clock_now_ms() - r->arrived_at_ms < RECENT_REQUEST_MS)
 		return true;
 	identity = g_bytes_get_data(r->identity, &len);
-	return peers_reaches(&r->gate->node->peers, identity, len);
+	return peers_is_connected(&r->gate->node->peers, identity, len);
 }
 
 bool gate_link_wait_begin(struct gate_request *r)
--- a/node/gate-stop.c
+++ b/node/gate-stop.c
@@ -59,8 +59,8 @@
 
 static void send_stopping(struct gate *g, GBytes *identity)
 {
-	struct request_msg m = { .type = REQ_ENDING,
-				 .to = g->node->member.self_id,
+	struct request_msg m = { .type = REQ_STOPPING,
+				 .gate_member = g->node->member.self_id,
 				 .key = g->node->settings.peer_address };
 
 	gate_send(g, identity, &m);
@@ -124,7 +124,7 @@
 
 	g->draining = true;
 	/* Requests that have arrived but were not read yet are refused too. */
-	peers_read(&g->node->peers);
+	peers_receive(&g->node->peers);
 	refuse_not_started(g, true);
 	while (g_hash_table_iter_init(&it, g->requests),
 	       g_hash_table_iter_next(&it, &key, NULL)) {
--- a/node/gate.c
+++ b/node/gate.c
@@ -197,7 +197,7 @@
 void gate_connect_failed(struct gate *g, const struct fetch *f)
 {
 	g->connect_failures++;
-	g->connect_refusals += f->refused;
+	g->connect_refusals += f->connection_refused;
 }
 
 void gate_connect_succeeded(struct gate *g)
@@ -269,7 +269,7 @@
 	if (err)
 		COUNT(gate_answers_lost);
 	g_byte_array_unref(out);
-	gate_record_sent(g, identity, m->type == REQ_ENDING && !err);
+	gate_record_sent(g, identity, m->type == REQ_STOPPING && !err);
 }
 
 void gate_send_for(struct gate_request *r, struct request_msg *m)
@@ -318,7 +318,7 @@
 	struct request_msg m = {
 		.type = REQ_REFUSED,
 		.number = result,
-		.flags = r->server_refused ? REQ_FLAG_REACHED : 0,
+		.flags = r->server_refused ? REQ_FLAG_BY_SERVER : 0,
 		.wait_ms = admission_retry_after_ms(
 			&r->gate->admission, g_rand_double(r->gate->rand),
 			clock_now_ms())
@@ -342,7 +342,7 @@
 	struct request_msg m = { .type = REQ_FAILED,
 				 .number = result,
 				 .flags = r->state == GATE_IN_FLIGHT
-						  ? REQ_FLAG_BEGUN
+						  ? REQ_FLAG_STARTED
 						  : 0 };
 
 	EVENT(gate_failed, r->attempt_id,
@@ -398,7 +398,7 @@
 
 	header_set(r->headers, names->deadline_ms, NULL);
 	header_add_int(r->headers, names->deadline_ms, left_ms);
-	header_set(r->headers, names->expect_life, id[0] ? id : NULL);
+	header_set(r->headers, names->expect_instance, id[0] ? id : NULL);
 	if (!r->keyed)
 		return;
 	header_add_int(r->headers, names->fence, fence);
@@ -496,7 +496,7 @@
 void gate_read_and_start(struct gate *g)
 {
 	/* Cancels that have arrived are handled before requests are started. */
-	peers_read(&g->node->peers);
+	peers_receive(&g->node->peers);
 	gate_start_queued(g);
 }
 
@@ -534,7 +534,7 @@
 	r->repeatable = m->flags & REQ_FLAG_REPEATABLE;
 	r->is_first_send = m->flags & REQ_FLAG_FIRST_SENDING;
 	r->traced = m->flags & REQ_FLAG_TRACED;
-	r->sent_at_ms = m->sent_ms;
+	r->sent_at_ms = m->sent_at_ms;
 	r->resend_window_ms = m->resend_window_ms;
 	r->target_ms = m->target_ms;
 	r->priority = m->priority;
@@ -595,7 +595,8 @@
 
 	COUNT(gate_received);
 	gate_apply_configuration(g);
-	if (m->to != g->node->member.self_id || !g->backend_server.announced) {
+	if (m->gate_member != g->node->member.self_id ||
+	    !g->backend_server.announced) {
 		GBytes *id = identity ? g_bytes_new(identity, len) : NULL;
 
 		COUNT(gate_refused_not_owner);
@@ -625,11 +626,11 @@
 	struct gate_request key = { .origin = m->origin, .id = m->id };
 	struct gate_request *r = g_hash_table_lookup(g->requests, &key);
 
-	if (m->type == REQ_HEARD) {
+	if (m->type == REQ_STOPPING_ACK) {
 		gate_on_stopping_ack(g, identity, len);
 		return;
 	}
-	if (m->type == REQ_ASK) {
+	if (m->type == REQ_SUBMIT) {
 		if (!r)
 			handle_request(g, identity, len, m);
 		return;
