--- a/audit/audit.c
+++ b/audit/audit.c
@@ -40,7 +40,7 @@
 	g_info("audit: %s", text);
 }
 
-static void end_run(struct audit_moves *m)
+static void end_range(struct audit_moves *m)
 {
 	if (m->last > m->first)
 		g_string_append_printf(m->shards, "-%u", m->last);
@@ -53,7 +53,7 @@
 	for (i = 0; i < a->moves->len; i++) {
 		struct audit_moves *m = g_ptr_array_index(a->moves, i);
 
-		end_run(m);
+		end_range(m);
 		add_line(a, g_strdup_printf("offset %" G_GINT64_FORMAT
 					    ": %s shards %s: owner "
 					    "%" G_GINT64_FORMAT
@@ -95,7 +95,7 @@
 	return m;
 }
 
-static void on_moved(struct audit *a, const struct fleet_event *ev)
+static void on_shard_moved(struct audit *a, const struct fleet_event *ev)
 {
 	struct audit_moves *m;
 
@@ -108,7 +108,7 @@
 		return;
 	}
 	if (m) {
-		end_run(m);
+		end_range(m);
 		g_string_append_c(m->shards, ',');
 	} else {
 		m = new_moves(ev);
@@ -141,7 +141,7 @@
 	const char *what = member_text(ev);
 
 	if (ev->type == FLEET_SHARD_MOVED) {
-		on_moved(a, ev);
+		on_shard_moved(a, ev);
 		return;
 	}
 	if (ev->type == FLEET_SUCCESSOR_REMOVED)
--- a/gate/grant-beat.c
+++ b/gate/grant-beat.c
@@ -211,8 +211,8 @@
 
 	for (i = 0; i < g->n_shards; i++)
 		if (g->shards[i].reported_held &&
-		    !o->ops->serves(o->user, i, &fence) &&
-		    o->ops->expects(o->user, i))
+		    !o->ops->holds(o->user, i, &fence) &&
+		    o->ops->expects_to_own(o->user, i))
 			return true;
 	return false;
 }
@@ -234,7 +234,7 @@
 		struct ranked_row n;
 		int64_t fence;
 
-		if (!o->ops->serves(o->user, i, &fence))
+		if (!o->ops->holds(o->user, i, &fence))
 			continue;
 		n = make_ranked_row(g, i, fence, with_handovers);
 		append_or_merge_row(ranked, &n);
--- a/gate/grant-call.c
+++ b/gate/grant-call.c
@@ -191,7 +191,7 @@
 	if (s->call_in_flight || now_ms < s->retry_at_ms)
 		return action;
 	if (now_ms < o->lease_end_ms &&
-	    o->ops->serves(o->user, i, &action.fence)) {
+	    o->ops->holds(o->user, i, &action.fence)) {
 		action.grant = action.fence > s->rejected_fence;
 		return action;
 	}
@@ -201,7 +201,7 @@
 	 * come back with cold caches.
 	 */
 	action.release = s->state != GRANT_FREE && o->is_caught_up &&
-			 !o->ops->expects(o->user, i);
+			 !o->ops->expects_to_own(o->user, i);
 	return action;
 }
 
--- a/gate/grant-owner.c
+++ b/gate/grant-owner.c
@@ -1,18 +1,18 @@
 #include "gate/grant-owner.h"
 
-static bool serves(const void *user, uint32_t shard, int64_t *fence)
+static bool holds(const void *user, uint32_t shard, int64_t *fence)
 {
 	return member_holds(user, shard, fence);
 }
 
-static bool expects(const void *user, uint32_t shard)
+static bool expects_to_own(const void *user, uint32_t shard)
 {
 	return member_expects_to_own(user, shard);
 }
 
 static const struct grant_owner_ops member_owner = {
-	.serves = serves,
-	.expects = expects,
+	.holds = holds,
+	.expects_to_own = expects_to_own,
 };
 
 void grant_owner_from(struct grant_owner *o, const struct member_node *m)
--- a/gate/grant-owner.h
+++ b/gate/grant-owner.h
@@ -10,13 +10,13 @@
 
 struct grant_owner_ops {
 	/* Whether the node may serve a shard during the lease; sets *fence. */
-	bool (*serves)(const void *user, uint32_t shard, int64_t *fence);
+	bool (*holds)(const void *user, uint32_t shard, int64_t *fence);
 	/*
 	 * Whether the log assigns a shard to this node, or to the previous
 	 * process beside the same backend server, which this node is about to
 	 * replace.
 	 */
-	bool (*expects)(const void *user, uint32_t shard);
+	bool (*expects_to_own)(const void *user, uint32_t shard);
 };
 
 struct grant_owner {
--- a/node/backend.c
+++ b/node/backend.c
@@ -18,8 +18,8 @@
  * Keys that no heartbeat renewed have run out at the server after their lease.
  * Then it serves none of them, and another server should.
  */
-#define SILENT_LEASES 1
-#define SILENT_MARGIN_MS 500
+#define HEARTBEAT_TIMEOUT_LEASES 1
+#define HEARTBEAT_TIMEOUT_MARGIN_MS 500
 
 static void reply_json(struct httpd_request *r, uint32_t status,
 		       const char *text)
@@ -31,7 +31,7 @@
 	g_ptr_array_unref(headers);
 }
 
-static void announced(struct node *n, const struct announcement *a)
+static void announce_instance(struct node *n, const struct announcement *a)
 {
 	struct backend_server b = {
 		.slots = a->slots, .connections = a->slots + SPARE_CONNECTIONS
@@ -46,86 +46,87 @@
 	node_backend_announced(n);
 }
 
-static void leaves(struct node *n, const char *why)
+static void on_backend_leaving(struct node *n, const char *why)
 {
 	if (n->backend_left)
 		return;
 	EVENT(server_leaves, NULL, "\"server\":\"%s\",\"why\":\"%s\"",
-	      event_text(n->life.id), event_text(why));
-	g_info("backend server %s: %s", n->life.id, why);
+	      event_text(n->server_instance.id), event_text(why));
+	g_info("backend server %s: %s", n->server_instance.id, why);
 	n->backend_left = true;
 	gate_leave(&n->gate);
 	node_backend_left(n);
 }
 
-static void follow_state(struct node *n, const struct announcement *a,
-			 enum instance_check news)
+static void update_state(struct node *n, const struct announcement *a,
+			 enum instance_check check)
 {
-	if (news == INSTANCE_NEW) {
+	if (check == INSTANCE_NEW) {
 		grants_new_instance(&n->gate.grants);
 		/* What was granted to the life before ended with it. */
 		if (n->member.self_id)
 			node_backend_left(n);
-		announced(n, a);
+		announce_instance(n, a);
 	} else if (!a->draining && n->backend_left) {
-		announced(n, a);
+		announce_instance(n, a);
 	}
 	if (a->draining)
-		leaves(n, "is leaving");
+		on_backend_leaving(n, "is leaving");
 	cold_start_set_remaining(&n->gate.load.cold_start, a->cold_left_ms,
 				 clock_now_ms());
 }
 
-/* The answer to a heartbeat; n_named of its rows had room. */
-static char *write_answer(struct node *n, const struct grant_owner *o,
-			  bool with_handovers, GArray **rows, int64_t *hold_ms,
-			  uint32_t *n_named)
+/* The answer to a heartbeat; n_included of its rows had room. */
+static char *encode_answer(struct node *n, const struct grant_owner *o,
+			   bool with_handovers, GArray **rows, int64_t *hold_ms,
+			   uint32_t *n_included)
 {
-	uint32_t n_left_out;
+	uint32_t n_omitted;
 	char *text;
 
 	*rows = grant_heartbeat_rows(&n->gate.grants, o, with_handovers,
 				     n->settings.hold_max_ms, clock_now_ms(),
 				     hold_ms);
-	text = announce_answer(*rows, *hold_ms, MAX_ANSWER_BYTES, &n_left_out);
-	*n_named = *rows ? (*rows)->len - n_left_out : 0;
+	text = announce_answer(*rows, *hold_ms, MAX_ANSWER_BYTES, &n_omitted);
+	*n_included = *rows ? (*rows)->len - n_omitted : 0;
 	return text;
 }
 
-static char *answer(struct node *n, int64_t number)
+static char *answer_heartbeat(struct node *n, int64_t number)
 {
 	struct grant_owner owner;
 	int64_t hold_ms;
 	GArray *rows;
-	uint32_t n_named;
+	uint32_t n_included;
 	char *text;
 
 	grant_owner_from(&owner, &n->member);
-	text = write_answer(n, &owner, true, &rows, &hold_ms, &n_named);
+	text = encode_answer(n, &owner, true, &rows, &hold_ms, &n_included);
 	if (!rows)
 		return text;
 	/* Cold keys are better than keys let go because a row had no room. */
-	if (n_named < rows->len) {
+	if (n_included < rows->len) {
 		g_free(text);
 		g_array_unref(rows);
-		text = write_answer(n, &owner, false, &rows, &hold_ms,
-				    &n_named);
+		text = encode_answer(n, &owner, false, &rows, &hold_ms,
+				     &n_included);
 	}
-	if (n_named < rows->len)
+	if (n_included < rows->len)
 		g_warning("%u of %u rows left out of an answer too long",
-			  rows->len - n_named, rows->len);
+			  rows->len - n_included, rows->len);
 	MEASURE(grant_ms, hold_ms);
-	grant_heartbeat_answered(&n->gate.grants, rows, n_named, number,
+	grant_heartbeat_answered(&n->gate.grants, rows, n_included, number,
 				 hold_ms, clock_now_ms());
 	g_array_unref(rows);
 	return text;
 }
 
-static void on_beat(struct node *n, struct httpd_request *r, const char *id)
+static void on_heartbeat(struct node *n, struct httpd_request *r,
+			 const char *id)
 {
 	GString *why = g_string_new(NULL);
 	struct announcement a;
-	enum instance_check news;
+	enum instance_check check;
 	g_autofree char *text = NULL;
 	int err = announce_read(&a, id, r->body->data, r->body->len, why);
 
@@ -139,22 +140,22 @@
 		reply_json(r, 400, "{}");
 		goto out;
 	}
-	news = instance_on_heartbeat(&n->life, a.id, a.born_ms, a.number,
-				     clock_now_ms());
-	if (news == INSTANCE_STALE) {
+	check = instance_on_heartbeat(&n->server_instance, a.id, a.born_ms,
+				      a.number, clock_now_ms());
+	if (check == INSTANCE_STALE) {
 		reply_json(r, 200, "{}");
 		goto out;
 	}
-	follow_state(n, &a, news);
+	update_state(n, &a, check);
 	gate_follow_configuration(&n->gate);
 	if (n->gate.grants.ops == &grant_by_call) {
 		reply_json(r, 200, "{}");
-		granter_on_beat(&n->granter);
+		granter_on_heartbeat(&n->granter);
 		goto out;
 	}
 	grant_heartbeat_received(&n->gate.grants, a.number, a.holds, a.released,
 				 n->settings.hold_max_ms, clock_now_ms());
-	text = answer(n, a.number);
+	text = answer_heartbeat(n, a.number);
 	reply_json(r, 200, text);
 out:
 	announce_finish(&a);
@@ -171,11 +172,11 @@
 		httpd_reply_text(r, node_is_ready(n) ? 200 : 503, "");
 		break;
 	case ANNOUNCE_HEARTBEAT:
-		on_beat(n, r, id);
+		on_heartbeat(n, r, id);
 		break;
 	case ANNOUNCE_LEAVE:
-		if (!strcmp(id, n->life.id))
-			leaves(n, "has left");
+		if (!strcmp(id, n->server_instance.id))
+			on_backend_leaving(n, "has left");
 		reply_json(r, 200, "{}");
 		break;
 	default:
@@ -219,10 +220,12 @@
 
 void backend_tick(struct node *n)
 {
-	int64_t silent_ms = clock_now_ms() - n->life.heard_at_ms;
+	int64_t silent_ms = clock_now_ms() - n->server_instance.heard_at_ms;
 
-	if (!n->life.id[0] || n->backend_left || !n->gate.grants.n_shards)
+	if (!n->server_instance.id[0] || n->backend_left ||
+	    !n->gate.grants.n_shards)
 		return;
-	if (silent_ms > SILENT_LEASES * n->settings.lease_ms + SILENT_MARGIN_MS)
-		leaves(n, "sent no heartbeat for a whole lease");
+	if (silent_ms > HEARTBEAT_TIMEOUT_LEASES * n->settings.lease_ms +
+				HEARTBEAT_TIMEOUT_MARGIN_MS)
+		on_backend_leaving(n, "sent no heartbeat for a whole lease");
 }
--- a/node/gate-cut.c
+++ b/node/gate-cut.c
@@ -49,7 +49,7 @@
 
 void gate_cut_tick(struct gate *g, int64_t now_ms)
 {
-	bool takes_work = node_takes_work(g->node);
+	bool takes_work = node_accepts_unsharded(g->node);
 	uint32_t i;
 
 	for (i = g->cut->len; i-- > 0;) {
--- a/node/gate.c
+++ b/node/gate.c
@@ -376,7 +376,7 @@
 	if (r->gate->draining || out_for_good(r->gate, now))
 		return false;
 	if (!r->keyed)
-		return node_takes_work(node);
+		return node_accepts_unsharded(node);
 	if (member_may_serve(&node->member, r->shard, now, fence, lease_end_ms))
 		return false;
 	/* Sent before it holds the key, the server would turn it away. */
--- a/node/granter.c
+++ b/node/granter.c
@@ -11,13 +11,13 @@
 #include "util/result.h"
 
 /* The server answers a grant at once; one that it did not will not come. */
-#define GIVE_TIMEOUT_MS 250
+#define GRANT_TIMEOUT_MS 250
 /* A release is answered when the work on its keys has ended. */
-#define TAKE_BACK_TIMEOUT_MS 1500
+#define RELEASE_TIMEOUT_MS 1500
 /* A server that ended after its heartbeat is not back before that. */
-#define OPEN_AFTER_BEAT_MS 300
+#define CONNECT_AFTER_HEARTBEAT_MS 300
 
-static void pump(struct granter *x);
+static void start_due_calls(struct granter *x);
 
 static enum grant_outcome outcome_of(const struct fetch *f, int result)
 {
@@ -26,8 +26,8 @@
 	return f->sent ? GRANT_IN_DOUBT : GRANT_NOT_APPLIED;
 }
 
-static void count(const struct grants *g, const struct grant_call *c,
-		  enum grant_outcome outcome)
+static void count_outcome(const struct grants *g, const struct grant_call *c,
+			  enum grant_outcome outcome)
 {
 	bool renews = c->first < g->n_shards &&
 		      g->shards[c->first].state == GRANT_HELD;
@@ -46,61 +46,61 @@
 		COUNT(grants_given);
 }
 
-static void note(const struct granter_lane *l, enum grant_outcome outcome,
-		 int result)
+static void emit_outcome(const struct granter_request *r,
+			 enum grant_outcome outcome, int result)
 {
-	const struct grant_call *c = &l->call;
+	const struct grant_call *c = &r->call;
 
 	if (outcome == GRANT_FENCED)
 		EVENT(grant_fenced, NULL,
 		      "\"shards\":[%u,%u],\"fence\":%" PRId64
 		      ",\"applied\":%" PRId64,
 		      c->first, c->last, c->row.fence,
-		      l->granter->node->member.fleet.applied);
+		      r->granter->node->member.fleet.applied);
 	if (outcome == GRANT_IN_DOUBT)
 		EVENT(grant_in_doubt, NULL,
 		      "\"kind\":\"%s\",\"shards\":[%u,%u],\"fence\":%" PRId64
 		      ",\"why\":\"%s\",\"status\":%ld,\"until_ms\":%" PRId64,
 		      c->kind == GRANT_CALL_GRANT ? "give" : "take_back",
 		      c->first, c->last, c->row.fence, result_name(result),
-		      l->fetch.status, c->latest_end_ms - clock_now_ms());
+		      r->fetch.status, c->latest_end_ms - clock_now_ms());
 }
 
 static void on_done(struct fetch *f, int result)
 {
-	struct granter_lane *l = f->user;
-	struct granter *x = l->granter;
+	struct granter_request *r = f->user;
+	struct granter *x = r->granter;
 	struct grants *g = &x->node->gate.grants;
 	enum grant_outcome outcome = outcome_of(f, result);
 
-	l->busy = false;
-	x->n_busy[l->call.kind]--;
-	g_clear_pointer(&l->body, g_free);
+	r->busy = false;
+	x->n_busy[r->call.kind]--;
+	g_clear_pointer(&r->body, g_free);
 	/* A connection that ended or could not be opened: is it the same life? */
 	if (f->unopened || (result && result != RESULT_TIMEOUT))
-		x->await_beat = true;
+		x->awaits_heartbeat = true;
 	if (result == RESULT_UNREACHABLE && f->refused)
 		gate_not_connected(&x->node->gate, f);
 	if (outcome == GRANT_FENCED)
 		x->node->member.log_read_due = true;
-	count(g, &l->call, outcome);
-	note(l, outcome, result);
-	grant_call_done(g, &l->call, outcome,
+	count_outcome(g, &r->call, outcome);
+	emit_outcome(r, outcome, result);
+	grant_call_done(g, &r->call, outcome,
 			grant_wire_handover(f->answer_headers), clock_now_ms());
 	/* Else all that was due is on its way, and the next tick looks again. */
-	if (x->more)
-		pump(x);
+	if (x->at_limit)
+		start_due_calls(x);
 }
 
-static const struct fetch_ops lane_ops = { .on_done = on_done };
+static const struct fetch_ops grant_fetch_ops = { .on_done = on_done };
 
-static struct granter_lane *free_lane(struct granter *x)
+static struct granter_request *find_idle_request(struct granter *x)
 {
 	uint32_t i;
 
-	for (i = 0; i < G_N_ELEMENTS(x->lanes); i++)
-		if (!x->lanes[i].busy)
-			return &x->lanes[i];
+	for (i = 0; i < G_N_ELEMENTS(x->requests); i++)
+		if (!x->requests[i].busy)
+			return &x->requests[i];
 	return NULL;
 }
 
@@ -108,36 +108,38 @@
 {
 	uint32_t kinds = 0;
 
-	if (x->n_busy[GRANT_CALL_GRANT] < GRANTER_GIVES && !x->await_beat)
+	if (x->n_busy[GRANT_CALL_GRANT] < GRANTER_MAX_GRANTS &&
+	    !x->awaits_heartbeat)
 		kinds |= 1 << GRANT_CALL_GRANT;
-	if (x->n_busy[GRANT_CALL_RELEASE] < GRANTER_TAKES)
+	if (x->n_busy[GRANT_CALL_RELEASE] < GRANTER_MAX_RELEASES)
 		kinds |= 1 << GRANT_CALL_RELEASE;
 	return kinds;
 }
 
-static void carry(struct granter *x, struct granter_lane *l)
+static void start_call(struct granter *x, struct granter_request *r)
 {
 	const struct settings *s = &x->node->settings;
-	bool give = l->call.kind == GRANT_CALL_GRANT;
+	bool give = r->call.kind == GRANT_CALL_GRANT;
 	GPtrArray *headers = headers_new();
 	g_autofree char *url = g_strdup_printf("http://%s%s", s->backend_server,
-					       grant_wire_path(l->call.kind));
+					       grant_wire_path(r->call.kind));
 
 	header_add(headers, "Content-Type", "application/json");
-	l->busy = true;
-	x->n_busy[l->call.kind]++;
-	l->body = grant_wire_body(&l->call);
-	fetch_start(&l->fetch, &x->fetcher, "POST", url, headers, l->body,
-		    strlen(l->body),
-		    give ? GIVE_TIMEOUT_MS : TAKE_BACK_TIMEOUT_MS, false,
-		    &lane_ops, l);
+	r->busy = true;
+	x->n_busy[r->call.kind]++;
+	r->body = grant_wire_body(&r->call);
+	fetch_start(&r->fetch, &x->fetcher, "POST", url, headers, r->body,
+		    strlen(r->body),
+		    give ? GRANT_TIMEOUT_MS : RELEASE_TIMEOUT_MS, false,
+		    &grant_fetch_ops, r);
 	if (give)
-		fetch_bound(&l->fetch, l->call.send_by_ms,
-			    x->heard_ms + OPEN_AFTER_BEAT_MS);
+		fetch_bound(&r->fetch, r->call.send_by_ms,
+			    x->last_heartbeat_at_ms +
+				    CONNECT_AFTER_HEARTBEAT_MS);
 	g_ptr_array_unref(headers);
 }
 
-static void pump(struct granter *x)
+static void start_due_calls(struct granter *x)
 {
 	struct node *n = x->node;
 	struct grant_owner o;
@@ -145,16 +147,16 @@
 
 	grant_owner_from(&o, &n->member);
 	while ((kinds = kinds_allowed(x))) {
-		struct granter_lane *l = free_lane(x);
+		struct granter_request *r = find_idle_request(x);
 
-		if (!l || !grant_call_next(&n->gate.grants, &o, kinds,
+		if (!r || !grant_call_next(&n->gate.grants, &o, kinds,
 					   n->settings.hold_max_ms,
-					   clock_now_ms(), &l->call))
+					   clock_now_ms(), &r->call))
 			break;
-		carry(x, l);
+		start_call(x, r);
 	}
-	x->more = x->n_busy[GRANT_CALL_GRANT] >= GRANTER_GIVES ||
-		  x->n_busy[GRANT_CALL_RELEASE] >= GRANTER_TAKES;
+	x->at_limit = x->n_busy[GRANT_CALL_GRANT] >= GRANTER_MAX_GRANTS ||
+		      x->n_busy[GRANT_CALL_RELEASE] >= GRANTER_MAX_RELEASES;
 }
 
 void granter_init(struct granter *x, struct node *node)
@@ -163,9 +165,9 @@
 
 	memset(x, 0, sizeof(*x));
 	x->node = node;
-	for (i = 0; i < G_N_ELEMENTS(x->lanes); i++)
-		x->lanes[i].granter = x;
-	fetcher_init(&x->fetcher, node->loop, G_N_ELEMENTS(x->lanes));
+	for (i = 0; i < G_N_ELEMENTS(x->requests); i++)
+		x->requests[i].granter = x;
+	fetcher_init(&x->fetcher, node->loop, G_N_ELEMENTS(x->requests));
 	x->fetcher.max_idle_s = node->settings.kept_idle_s;
 }
 
@@ -173,27 +175,27 @@
 {
 	uint32_t i;
 
-	for (i = 0; i < G_N_ELEMENTS(x->lanes); i++) {
-		if (!x->lanes[i].busy)
+	for (i = 0; i < G_N_ELEMENTS(x->requests); i++) {
+		if (!x->requests[i].busy)
 			continue;
-		fetch_cancel(&x->lanes[i].fetch);
-		g_free(x->lanes[i].body);
+		fetch_cancel(&x->requests[i].fetch);
+		g_free(x->requests[i].body);
 	}
 	fetcher_finish(&x->fetcher);
 }
 
-void granter_on_beat(struct granter *x)
+void granter_on_heartbeat(struct granter *x)
 {
 	if (x->node->gate.grants.ops != &grant_by_call)
 		return;
-	x->heard_ms = clock_now_ms();
-	x->await_beat = false;
+	x->last_heartbeat_at_ms = clock_now_ms();
+	x->awaits_heartbeat = false;
 	grant_call_heartbeat_received(&x->node->gate.grants);
-	pump(x);
+	start_due_calls(x);
 }
 
 void granter_tick(struct granter *x)
 {
 	if (x->node->gate.grants.ops == &grant_by_call)
-		pump(x);
+		start_due_calls(x);
 }
--- a/node/granter.h
+++ b/node/granter.h
@@ -20,10 +20,10 @@
 
 struct node;
 
-#define GRANTER_GIVES 4
-#define GRANTER_TAKES 8
+#define GRANTER_MAX_GRANTS 4
+#define GRANTER_MAX_RELEASES 8
 
-struct granter_lane {
+struct granter_request {
 	struct granter *granter;
 	struct grant_call call;
 	struct fetch fetch;
@@ -34,18 +34,19 @@
 struct granter {
 	struct node *node;
 	struct fetcher fetcher;
-	struct granter_lane lanes[GRANTER_GIVES + GRANTER_TAKES];
+	struct granter_request
+		requests[GRANTER_MAX_GRANTS + GRANTER_MAX_RELEASES];
 	uint32_t n_busy[2]; /* by kind of call */
-	int64_t heard_ms; /* the server's last heartbeat */
-	bool await_beat; /* no grants before the next one */
-	bool more; /* there was more to call than could be carried */
+	int64_t last_heartbeat_at_ms; /* the server's last heartbeat */
+	bool awaits_heartbeat; /* no grants before the next one */
+	bool at_limit; /* there was more to call than could be carried */
 };
 
 void granter_init(struct granter *x, struct node *node);
 void granter_finish(struct granter *x);
 
 /* A heartbeat of the life that we know was heard. */
-void granter_on_beat(struct granter *x);
+void granter_on_heartbeat(struct granter *x);
 
 /* Carry what is due. */
 void granter_tick(struct granter *x);
--- a/node/node.c
+++ b/node/node.c
@@ -11,21 +11,21 @@
 #include "util/result.h"
 
 /* For the answers to go out before the process ends. */
-#define LAST_WORD_MS 300
+#define FINAL_ANSWERS_MS 300
 /* For the last words to be read; the platform ends us 400 ms after the limit. */
-#define HEARD_MS 500
+#define FINAL_ACK_TIMEOUT_MS 500
 #define TICK_S 0.05
-#define SEED_EVERY_MS 500
-#define STAY_LIMIT_MS 10000
+#define SEED_REQUEST_INTERVAL_MS 500
+#define WITNESS_STAY_MAX_MS 10000
 #define MAX_ADDRESSES 8192
 /* The platform asks every second, and twice before it believes. */
-#define NOTICE_MS 2300
+#define UNREADY_NOTICE_MS 2300
 #define BOOT_ID_FILE "/proc/sys/kernel/random/boot_id"
 
 /* The message being handled, to answer over the link that it came by. */
 static const struct peer_source *current_source;
 
-bool node_takes_work(const struct node *n)
+bool node_accepts_unsharded(const struct node *n)
 {
 	const struct member *m =
 		fleet_member(&n->member.fleet, n->member.self_id);
@@ -66,7 +66,7 @@
 	g_byte_array_unref(out);
 }
 
-static void tell_proposed(const struct node *n)
+static void emit_proposed(const struct node *n)
 {
 	const json_t *changes = n->member.changes;
 
@@ -96,7 +96,7 @@
 			N_APPEND_KINDS - 1);
 	counters[COUNTER_appends_join + kind]++;
 	if (kind == APPEND_PUBLISHED)
-		tell_proposed(n);
+		emit_proposed(n);
 	log_client_append(&n->log, kind, member_append_may_follow(kind), NULL,
 			  record);
 }
@@ -141,7 +141,7 @@
 	ids_import(&n->gate.ids, entry, clock_now_ms());
 }
 
-static void tell_unsettled(const struct node *n, uint32_t shard)
+static void emit_unsettled(const struct node *n, uint32_t shard)
 {
 	const struct member_node *m = &n->member;
 	const struct fleet_service *s =
@@ -177,7 +177,7 @@
 		      "\"member\":%" PRId64 ",\"applied\":%" PRId64, subject,
 		      n->member.fleet.applied);
 	else if (!strcmp(what, NOTE_UNSETTLED))
-		tell_unsettled(n, (uint32_t)subject);
+		emit_unsettled(n, (uint32_t)subject);
 	else if (!strcmp(what, NOTE_CAUGHT_UP))
 		EVENT(caught_up, NULL,
 		      "\"with\":%" PRId64 ",\"applied\":%" PRId64
@@ -220,7 +220,7 @@
  * A member was replaced by one of the same host. Unless it is the same process
  * that joined anew, the old one is gone: one process to a peer address.
  */
-static void note_superseded(struct node *n, const struct member *m)
+static void report_replaced_process(struct node *n, const struct member *m)
 {
 	struct member *old = &n->superseded;
 
@@ -230,7 +230,7 @@
 	old->id = 0;
 }
 
-static void tell_configured(const struct node *n, const struct fleet_event *ev)
+static void emit_configured(const struct node *n, const struct fleet_event *ev)
 {
 	const struct member_node *m = &n->member;
 	int64_t since = m->published_since_ms;
@@ -252,7 +252,7 @@
 
 	audit_event(&n->audit, ev);
 	if (ev->type == FLEET_CONFIGURATION_CHANGED) {
-		tell_configured(n, ev);
+		emit_configured(n, ev);
 		entry_follow_configuration(&n->entry);
 	}
 	if (ev->type == FLEET_CONFIGURATION_REFUSED) {
@@ -269,13 +269,13 @@
 		gate_entry_gone(&n->gate, ev->member->peer);
 	if (ev->type == FLEET_MEMBER_JOINED) {
 		remember_address(n, ev->member->id, ev->member->peer);
-		note_superseded(n, ev->member);
+		report_replaced_process(n, ev->member);
 	}
 	operator_on_event(n, ev);
 }
 
 /* Records that peers sent need not be read from the log any more. */
-static void read_after_peers(struct node *n)
+static void skip_records_from_peers(struct node *n)
 {
 	int64_t next = n->member.fleet.applied + 1;
 
@@ -301,7 +301,7 @@
 		remember_address(n, msg.from, current_source->address);
 	member_on_message(&n->member, &msg, clock_now_ms());
 	audit_flush(&n->audit);
-	read_after_peers(n);
+	skip_records_from_peers(n);
 	member_msg_finish(&msg);
 }
 
@@ -340,15 +340,15 @@
 }
 
 /* While the log cannot be read, any peer's copy of it will do. */
-static void ask_seeds(struct node *n, int64_t now)
+static void request_records_from_seed(struct node *n, int64_t now)
 {
 	struct member_msg msg;
 	GByteArray *out;
 
 	if ((log_client_up(&n->log) && !n->log.trimmed) ||
-	    !n->settings.n_seeds || now < n->next_seed_ms)
+	    !n->settings.n_seeds || now < n->next_seed_request_ms)
 		return;
-	n->next_seed_ms = now + SEED_EVERY_MS;
+	n->next_seed_request_ms = now + SEED_REQUEST_INTERVAL_MS;
 	member_msg_init(&msg, MSG_RECORDS_REQUEST);
 	msg.applied = n->member.fleet.applied;
 	msg.offset = n->member.fleet.applied + 1;
@@ -364,78 +364,81 @@
  * Whether only this process stops and its backend server goes on. The process
  * that follows takes up its keys, so they are not moved.
  */
-static bool keeps_backend(const struct node *n)
+static bool backend_keeps_running(const struct node *n)
 {
-	return n->gate.grants.ops && !n->backend_left && n->life.id[0];
+	return n->gate.grants.ops && !n->backend_left &&
+	       n->server_instance.id[0];
 }
 
 /* How long callers may still be sent here after we were asked to stop. */
-static int64_t notice_ms(const struct node *n)
+static int64_t unready_notice_ms(const struct node *n)
 {
-	return n->settings.ready_address[0] ? NOTICE_MS : 0;
+	return n->settings.ready_address[0] ? UNREADY_NOTICE_MS : 0;
 }
 
 /* Whether what is still in progress must be given up. */
-static bool time_is_up(const struct node *n, int64_t asked_ms)
+static bool stop_limit_reached(const struct node *n, int64_t stopping_for_ms)
 {
-	return asked_ms >= n->settings.stop_limit_ms - LAST_WORD_MS;
+	return stopping_for_ms >= n->settings.stop_limit_ms - FINAL_ANSWERS_MS;
 }
 
 /* A connection that just ends tells its caller nothing. */
-static void answer_in_time(struct node *n, int64_t asked_ms)
+static void answer_all_at_limit(struct node *n, int64_t stopping_for_ms)
 {
-	if (time_is_up(n, asked_ms))
+	if (stop_limit_reached(n, stopping_for_ms))
 		entry_answer_all(&n->entry);
 }
 
 /* Say what there is left to say; the loop ends once that has been read. */
-static void begin_ending(struct node *n, int64_t now)
+static void send_final_messages(struct node *n, int64_t now)
 {
-	n->ending_ms = now;
+	n->final_messages_at_ms = now;
 	gate_say_last(&n->gate);
 }
 
-static void tick_ending(struct node *n, int64_t now)
+static void await_final_acks(struct node *n, int64_t now)
 {
-	if (!gate_was_heard(&n->gate) && now - n->ending_ms < HEARD_MS)
+	if (!gate_was_heard(&n->gate) &&
+	    now - n->final_messages_at_ms < FINAL_ACK_TIMEOUT_MS)
 		return;
 	ev_break(n->loop, EVBREAK_ALL);
 }
 
 /* Stop beside a backend server that goes on: end what runs, then leave. */
-static void tick_pause(struct node *n)
+static void tick_stop_beside_backend(struct node *n)
 {
-	int64_t asked_ms = clock_now_ms() - n->stopping_ms;
+	int64_t stopping_for_ms = clock_now_ms() - n->stop_requested_at_ms;
 	bool idle;
 
 	entry_drain(&n->entry);
 	/* Others can serve what needs no key; for a key there is only us. */
-	if (!n->gate.grants.n_shards || asked_ms >= NOTICE_MS)
+	if (!n->gate.grants.n_shards || stopping_for_ms >= UNREADY_NOTICE_MS)
 		gate_stop_taking(&n->gate);
 	/* Callers are sent here until the platform has noticed. */
-	if (asked_ms < NOTICE_MS)
+	if (stopping_for_ms < UNREADY_NOTICE_MS)
 		return;
 	entry_close(&n->entry);
-	answer_in_time(n, asked_ms);
+	answer_all_at_limit(n, stopping_for_ms);
 	idle = gate_idle(&n->gate) && entry_idle(&n->entry);
-	if (!idle && !time_is_up(n, asked_ms))
+	if (!idle && !stop_limit_reached(n, stopping_for_ms))
 		return;
 	EVENT(stopped, NULL, "\"requests\":%u,\"running\":%u,\"ms\":%" PRId64,
-	      n->entry.requests->len, n->gate.load.n_in_flight, asked_ms);
+	      n->entry.requests->len, n->gate.load.n_in_flight,
+	      stopping_for_ms);
 	g_info("stopped, %s in progress", idle ? "nothing" : "something");
-	begin_ending(n, clock_now_ms());
+	send_final_messages(n, clock_now_ms());
 }
 
 /*
  * Where a ready page tells callers to go elsewhere, they are let in only until
  * that has been noticed: those let in later would be cut off at the time limit.
  */
-static void shut_out_callers(struct node *n, int64_t asked_ms)
+static void drain_callers(struct node *n, int64_t stopping_for_ms)
 {
 	if (!n->settings.ready_address[0])
 		return;
 	entry_drain(&n->entry);
-	if (asked_ms >= NOTICE_MS)
+	if (stopping_for_ms >= UNREADY_NOTICE_MS)
 		entry_close(&n->entry);
 }
 
@@ -443,19 +446,19 @@
 {
 	int64_t now = clock_now_ms();
 
-	if (n->ending_ms) {
-		tick_ending(n, now);
+	if (n->final_messages_at_ms) {
+		await_final_acks(n, now);
 		return;
 	}
-	if (keeps_backend(n)) {
-		tick_pause(n);
+	if (backend_keeps_running(n)) {
+		tick_stop_beside_backend(n);
 		return;
 	}
-	shut_out_callers(n, now - n->stopping_ms);
-	answer_in_time(n, now - n->stopping_ms);
-	if (time_is_up(n, now - n->stopping_ms)) {
+	drain_callers(n, now - n->stop_requested_at_ms);
+	answer_all_at_limit(n, now - n->stop_requested_at_ms);
+	if (stop_limit_reached(n, now - n->stop_requested_at_ms)) {
 		g_warning("stopped at the time limit");
-		begin_ending(n, now);
+		send_final_messages(n, now);
 		return;
 	}
 
@@ -464,16 +467,17 @@
 	if (!n->left_ms)
 		n->left_ms = now;
 	/* Those we vouch for need others first; not for ever, though. */
-	if (member_is_witness(&n->member) && now - n->left_ms < STAY_LIMIT_MS)
+	if (member_is_witness(&n->member) &&
+	    now - n->left_ms < WITNESS_STAY_MAX_MS)
 		return;
 	entry_drain(&n->entry);
-	if (now - n->stopping_ms < notice_ms(n))
+	if (now - n->stop_requested_at_ms < unready_notice_ms(n))
 		return;
 	entry_close(&n->entry);
 	if (!gate_idle(&n->gate) || !entry_idle(&n->entry))
 		return;
 	g_info("stopped, nothing in progress");
-	begin_ending(n, now);
+	send_final_messages(n, now);
 }
 
 static void on_tick(struct ev_loop *loop, ev_timer *w, int events)
@@ -490,7 +494,7 @@
 	granter_tick(&n->granter);
 	backend_tick(n);
 	reload_tick(n, now);
-	ask_seeds(n, now);
+	request_records_from_seed(n, now);
 	operator_tick(n);
 	streams_tick(n, now);
 	if (n->stopping)
@@ -516,8 +520,8 @@
 	EVENT(stopping, NULL, "\"requests\":%u,\"running\":%u",
 	      n->entry.requests->len, n->gate.load.n_in_flight);
 	n->stopping = true;
-	n->stopping_ms = clock_now_ms();
-	if (keeps_backend(n))
+	n->stop_requested_at_ms = clock_now_ms();
+	if (backend_keeps_running(n))
 		return;
 	gate_stop_taking(&n->gate);
 	member_set_membership_wanted(&n->member, false, clock_now_ms());
@@ -558,51 +562,54 @@
 }
 
 /* The tick wakes the loop much sooner, unless the process does not run. */
-#define FROZEN_US 250000
+#define PAUSE_THRESHOLD_US 250000
 
 bool node_was_paused(const struct node *n)
 {
-	return n->awake_us && clock_now_us() - n->awake_us > FROZEN_US;
+	return n->round_start_us &&
+	       clock_now_us() - n->round_start_us > PAUSE_THRESHOLD_US;
 }
 
-static void on_awake(struct ev_loop *loop, ev_check *w, int events)
+static void on_round_start(struct ev_loop *loop, ev_check *w, int events)
 {
 	struct node *n = w->data;
 
 	(void)loop;
 	(void)events;
-	n->awake_us = clock_now_us();
-	if (n->asleep_us && n->awake_us - n->asleep_us > FROZEN_US)
-		gate_hold(&n->gate, n->awake_us / 1000);
+	n->round_start_us = clock_now_us();
+	if (n->round_end_us &&
+	    n->round_start_us - n->round_end_us > PAUSE_THRESHOLD_US)
+		gate_hold(&n->gate, n->round_start_us / 1000);
 }
 
-static void on_asleep(struct ev_loop *loop, ev_prepare *w, int events)
+static void on_round_end(struct ev_loop *loop, ev_prepare *w, int events)
 {
 	struct node *n = w->data;
 
 	(void)loop;
 	(void)events;
-	n->asleep_us = clock_now_us();
-	if (n->awake_us)
-		MEASURE(loop_ms, (n->asleep_us - n->awake_us) / 1000.0);
+	n->round_end_us = clock_now_us();
+	if (n->round_start_us)
+		MEASURE(loop_ms,
+			(n->round_end_us - n->round_start_us) / 1000.0);
 }
 
 /* How long a round takes: nothing that comes in meanwhile is looked at. */
-static void watch_rounds(struct node *n)
+static void init_round_watchers(struct node *n)
 {
-	ev_check_init(&n->awake, on_awake);
-	ev_prepare_init(&n->asleep, on_asleep);
-	ev_set_priority(&n->awake, EV_MAXPRI);
-	ev_set_priority(&n->asleep, EV_MINPRI);
-	n->awake.data = n;
-	n->asleep.data = n;
-	ev_check_start(n->loop, &n->awake);
-	ev_prepare_start(n->loop, &n->asleep);
+	ev_check_init(&n->round_start_watcher, on_round_start);
+	ev_prepare_init(&n->round_end_watcher, on_round_end);
+	ev_set_priority(&n->round_start_watcher, EV_MAXPRI);
+	ev_set_priority(&n->round_end_watcher, EV_MINPRI);
+	n->round_start_watcher.data = n;
+	n->round_end_watcher.data = n;
+	ev_check_start(n->loop, &n->round_start_watcher);
+	ev_prepare_start(n->loop, &n->round_end_watcher);
 }
 
 static void init_watchers(struct node *n)
 {
-	watch_rounds(n);
+	init_round_watchers(n);
 	ev_timer_init(&n->tick, on_tick, 0, TICK_S);
 	ev_signal_init(&n->sigterm, on_signal, SIGTERM);
 	ev_signal_init(&n->sigint, on_signal, SIGINT);
@@ -628,7 +635,7 @@
 	      GString *errors)
 {
 	struct member_timing timing = MEMBER_TIMING_DEFAULT;
-	struct member me;
+	struct member join_info;
 	int err;
 
 	memset(n, 0, sizeof(*n));
@@ -644,13 +651,13 @@
 	timing.lease_ms = s->lease_ms;
 	timing.move_batch = s->move_batch;
 	timing.drift_ppm = s->drift_ppm;
-	fill_member(&me, s);
+	fill_member(&join_info, s);
 	n->publishes = g_ptr_array_new();
 	n->addresses = g_hash_table_new_full(g_int64_hash, g_int64_equal,
 					     g_free, g_free);
 	audit_init(&n->audit);
-	member_init(&n->member, &me, &timing, &member_ops, n, n->started_ms,
-		    g_random_int());
+	member_init(&n->member, &join_info, &timing, &member_ops, n,
+		    n->started_ms, g_random_int());
 	n->member.on_event = on_event;
 	n->member.on_event_user = n;
 	gate_init(&n->gate, n);
@@ -679,8 +686,8 @@
 void node_finish(struct node *n)
 {
 	ev_timer_stop(n->loop, &n->tick);
-	ev_check_stop(n->loop, &n->awake);
-	ev_prepare_stop(n->loop, &n->asleep);
+	ev_check_stop(n->loop, &n->round_start_watcher);
+	ev_prepare_stop(n->loop, &n->round_end_watcher);
 	ev_signal_stop(n->loop, &n->sigterm);
 	ev_signal_stop(n->loop, &n->sigint);
 	ev_signal_stop(n->loop, &n->sighup);
--- a/node/node.h
+++ b/node/node.h
@@ -18,7 +18,7 @@
 #include "settings/settings.h"
 
 /* How long a read of the log waits for news where nothing hurries. */
-#define LOG_WAIT_LONG_MS 10000
+#define LOG_WAIT_MAX_MS 10000
 
 /* How far a caller's clock may be off from ours (docs/design/at-most-once). */
 #define CALLER_CLOCK_BOUND_MS 2000
@@ -28,11 +28,11 @@
 	struct httpd_request *http;
 	char id[32];
 	int64_t base;
-	int64_t began_ms;
+	int64_t started_at_ms;
 	bool appended; /* in the log; its fate is known once we apply it */
 	bool in_force;
 	int64_t version;
-	bool lost;
+	bool dropped;
 };
 
 /* One process beside a backend server. */
@@ -50,37 +50,40 @@
 	struct httpd announce_httpd; /* the backend server's heartbeats */
 	struct member superseded; /* by the join being applied; id 0 none */
 	/* The backend server, by its heartbeats. */
-	struct server_instance life;
+	struct server_instance server_instance;
 	bool backend_left;
 	struct log_client operators; /* what operators publish, elsewhere */
 	struct published published;
-	int64_t published_until; /* the last record that changed it, -1 none */
-	struct published published_newest; /* as read anew, not in use yet */
-	int64_t newest_until;
-	bool reads_operators;
-	bool pass_on; /* records were read that others wait for, from here on: */
-	int64_t pass_from;
-	int64_t source_ahead_ms; /* others read further since; 0 not */
-	int64_t next_wait_ms; /* when the reads' waits are worked out anew */
+	int64_t published_offset; /* the last record that changed it, -1 none */
+	struct published rescanned_published; /* as read anew, not in use yet */
+	int64_t rescanned_offset;
+	bool reads_operator_stream;
+	bool relay_pending; /* records were read that others wait for, from here
+			       on: */
+	int64_t relay_from;
+	int64_t source_ahead_since_ms; /* others read further since; 0 not */
+	int64_t next_wait_update_ms; /* when the reads' waits are worked out
+					anew */
 	struct audit audit;
 	GPtrArray *publishes; /* struct publish */
 	GHashTable *addresses; /* last address of each member seen */
 	struct log_scan scan; /* records met while looking for a snapshot */
 	ev_timer tick;
-	ev_check awake;
-	ev_prepare asleep;
-	int64_t awake_us; /* when this round of the loop began */
-	int64_t asleep_us; /* when the one before ended */
+	ev_check round_start_watcher;
+	ev_prepare round_end_watcher;
+	int64_t round_start_us; /* when this round of the loop began */
+	int64_t round_end_us; /* when the one before ended */
 	ev_signal sigterm;
 	ev_signal sigint;
 	ev_signal sighup;
-	int64_t settings_changed_ns; /* when their file was, 0 not looked */
-	int64_t next_look_ms;
+	int64_t settings_mtime_ns; /* when their file was, 0 not looked */
+	int64_t next_settings_check_ms;
 	bool stopping;
-	int64_t stopping_ms;
+	int64_t stop_requested_at_ms;
 	int64_t left_ms; /* when all was given up, 0 not yet */
-	int64_t ending_ms; /* when the last words were said, 0 not yet */
-	int64_t next_seed_ms;
+	int64_t final_messages_at_ms; /* when the last words were said, 0 not
+					 yet */
+	int64_t next_seed_request_ms;
 	uint32_t next_seed;
 	int64_t started_ms;
 };
@@ -98,7 +101,7 @@
 bool node_was_paused(const struct node *n);
 
 /* Whether the gate here may take work that belongs to no shard. */
-bool node_takes_work(const struct node *n);
+bool node_accepts_unsharded(const struct node *n);
 
 /* Whether callers should be sent to the entry here. */
 bool node_is_ready(const struct node *n);
--- a/node/operator.c
+++ b/node/operator.c
@@ -10,7 +10,7 @@
 #include "util/result.h"
 
 #define MAX_DOCUMENT_BYTES (4 * 1024 * 1024)
-#define PUBLISH_LIMIT_MS 8000
+#define PUBLISH_TIMEOUT_MS 8000
 #define MAX_PUBLISHES 32
 
 static void reply_json(struct httpd_request *r, uint32_t status, json_t *o)
@@ -31,7 +31,7 @@
 	reply_json(r, status, json_pack("{s:s}", "problem", text));
 }
 
-static uint32_t owned(const struct node *n, const struct member *m)
+static uint32_t count_shards_owned(const struct node *n, const struct member *m)
 {
 	struct fleet_service *s = fleet_service(&n->member.fleet, m->service);
 	uint32_t count = 0;
@@ -42,7 +42,7 @@
 	return count;
 }
 
-static uint32_t held(const struct node *n)
+static uint32_t count_shards_held(const struct node *n)
 {
 	uint32_t count = 0;
 	uint32_t i;
@@ -70,7 +70,7 @@
 				  "id", (json_int_t)m->id, "host", m->host,
 				  "data_centre", m->data_centre, "service",
 				  m->service, "peer", m->peer, "shards",
-				  owned(n, m), "takes_work",
+				  count_shards_owned(n, m), "takes_work",
 				  fleet_member_in_service(&n->member.fleet, m),
 				  "known_stopped",
 				  member_known_stopped(&n->member, m->id),
@@ -122,8 +122,8 @@
 			(json_int_t)m->fleet.applied, "configuration_version",
 			(json_int_t)m->fleet.configuration_version, "lease",
 			lease > 0, "log_up", log_client_up(&n->log),
-			"shards_held", held(n), "moves_unsettled", unsettled.n,
-			"moves_unsettled_ms",
+			"shards_held", count_shards_held(n), "moves_unsettled",
+			unsettled.n, "moves_unsettled_ms",
 			(json_int_t)unsettled_ms(&unsettled), "links",
 			peers_n_links(&n->peers), "in_flight",
 			n->gate.load.n_in_flight, "limit",
@@ -153,7 +153,7 @@
 		n->member.fleet.applied, n->member.fleet.configuration_version,
 		n->member.fleet.configuration.n_classes,
 		n->member.fleet.source_offset, n->member.published_source,
-		fleet_n_members(&n->member.fleet), held(n),
+		fleet_n_members(&n->member.fleet), count_shards_held(n),
 		member_lease_end_ms(&n->member) > clock_now_ms(), unsettled.n,
 		unsettled_ms(&unsettled), n->gate.load.n_in_flight,
 		n->gate.load.queue.heap->len, n->gate.load.limit.allowed,
@@ -316,7 +316,7 @@
 	p->appended = result == RESULT_OK;
 	if (p->in_force) {
 		publish_accepted(n, p);
-	} else if (p->lost) {
+	} else if (p->dropped) {
 		publish_conflict(n, p);
 	} else if (!p->appended) {
 		publish_end(
@@ -328,7 +328,8 @@
 	}
 }
 
-/* Match the outcome of a configuration record to the operator who sent it. */
+/* Match the outcome of a configuration record to the operator written_by sent
+ * it. */
 void operator_on_event(struct node *n, const struct fleet_event *ev)
 {
 	uint32_t i;
@@ -342,7 +343,7 @@
 		if (!strstr(ev->written_by, p->id))
 			continue;
 		p->in_force = ev->type == FLEET_CONFIGURATION_CHANGED;
-		p->lost = !p->in_force;
+		p->dropped = !p->in_force;
 		p->version = ev->offset;
 	}
 }
@@ -358,9 +359,10 @@
 
 		if (p->appended && p->in_force) {
 			publish_accepted(n, p);
-		} else if (p->appended && p->lost) {
+		} else if (p->appended && p->dropped) {
 			publish_conflict(n, p);
-		} else if (p->http && now - p->began_ms > PUBLISH_LIMIT_MS) {
+		} else if (p->http &&
+			   now - p->started_at_ms > PUBLISH_TIMEOUT_MS) {
 			struct httpd_request *http = p->http;
 
 			p->http = NULL;
@@ -378,7 +380,7 @@
 			  json_t *record, const char *by)
 {
 	struct publish *p;
-	g_autofree char *who = NULL;
+	g_autofree char *written_by = NULL;
 
 	if (n->publishes->len >= MAX_PUBLISHES) {
 		json_decref(record);
@@ -387,17 +389,17 @@
 	}
 	p = g_new0(struct publish, 1);
 	p->http = r;
-	p->began_ms = clock_now_ms();
+	p->started_at_ms = clock_now_ms();
 	g_snprintf(p->id, sizeof(p->id), "%08x", g_random_int());
 	r->user = p;
-	who = g_strdup_printf("%s [%s]", by, p->id);
-	json_object_set_new(record, "by", json_string(who));
+	written_by = g_strdup_printf("%s [%s]", by, p->id);
+	json_object_set_new(record, "by", json_string(written_by));
 	g_ptr_array_add(n->publishes, p);
 	log_client_append(&n->log, APPEND_OPERATOR, false, p, record);
 }
 
-static const char *text_or(const json_t *o, const char *name,
-			   const char *fallback)
+static const char *get_string_or(const json_t *o, const char *name,
+				 const char *fallback)
 {
 	const char *s = json_string_value(json_object_get(o, name));
 
@@ -421,11 +423,11 @@
 	if (configuration_read(cfg, doc, &c))
 		reply_problem(r, 400, c.errors->str);
 	else
-		start_publish(n, r,
-			      record_configuration(json_integer_value(base),
-						   doc, "",
-						   text_or(o, "reason", "")),
-			      text_or(o, "by", "operator"));
+		start_publish(
+			n, r,
+			record_configuration(json_integer_value(base), doc, "",
+					     get_string_or(o, "reason", "")),
+			get_string_or(o, "by", "operator"));
 	json_check_finish(&c);
 	configuration_finish(cfg);
 	g_free(cfg);
@@ -435,7 +437,7 @@
 static void post_declare_lost(struct node *n, struct httpd_request *r)
 {
 	json_t *o = read_body(r);
-	const char *host = text_or(o, "host", "");
+	const char *host = get_string_or(o, "host", "");
 	struct member *m;
 	json_t *record;
 
--- a/node/reload.c
+++ b/node/reload.c
@@ -11,9 +11,9 @@
  */
 
 /* The file may change without a signal; this is how soon that is noticed. */
-#define LOOK_EVERY_MS 2000
+#define CHECK_INTERVAL_MS 2000
 
-static int64_t changed_at(const struct node *n)
+static int64_t read_mtime_ns(const struct node *n)
 {
 	struct stat st;
 
@@ -22,7 +22,7 @@
 	return (int64_t)st.st_mtim.tv_sec * 1000000000 + st.st_mtim.tv_nsec;
 }
 
-static void take_over(struct settings *s, const struct settings *new)
+static void apply_reloadable(struct settings *s, const struct settings *new)
 {
 	memcpy(s->seeds, new->seeds, sizeof(s->seeds));
 	s->n_seeds = new->n_seeds;
@@ -41,11 +41,11 @@
 	struct settings *new = g_new0(struct settings, 1);
 	GString *errors = g_string_new(NULL);
 
-	n->settings_changed_ns = changed_at(n);
+	n->settings_mtime_ns = read_mtime_ns(n);
 	if (settings_read(new, n->settings.path, errors)) {
 		g_warning("settings not read again: %s", errors->str);
 	} else {
-		take_over(&n->settings, new);
+		apply_reloadable(&n->settings, new);
 		EVENT(reloaded, NULL, "\"seeds\":%u", n->settings.n_seeds);
 		g_info("settings read again, %u seeds", n->settings.n_seeds);
 	}
@@ -55,11 +55,11 @@
 
 void reload_tick(struct node *n, int64_t now_ms)
 {
-	if (now_ms < n->next_look_ms)
+	if (now_ms < n->next_settings_check_ms)
 		return;
-	n->next_look_ms = now_ms + LOOK_EVERY_MS;
-	if (!n->settings_changed_ns)
-		n->settings_changed_ns = changed_at(n);
-	else if (changed_at(n) != n->settings_changed_ns)
+	n->next_settings_check_ms = now_ms + CHECK_INTERVAL_MS;
+	if (!n->settings_mtime_ns)
+		n->settings_mtime_ns = read_mtime_ns(n);
+	else if (read_mtime_ns(n) != n->settings_mtime_ns)
 		node_reload(n);
 }
--- a/node/streams.c
+++ b/node/streams.c
@@ -14,22 +14,22 @@
  */
 
 /* A read tells of news within some milliseconds of others hearing of it. */
-#define DEAF_MS 200
+#define STALLED_READ_MS 200
 /* One of four is heard of within a second on the mean; more cost more calls. */
-#define N_LOOKOUTS 4
-#define LOG_WAIT_LOOKOUT_MS 3000
+#define N_SHORT_WAIT_READERS 4
+#define LOG_SHORT_WAIT_MS 3000
 /* Who brings news to the others notices the store's return that soon. */
-#define READER_RETRY_MS 500
+#define READER_RETRY_MAX_MS 500
 /* News seldom comes alone: what follows it is fetched with one read. */
-#define GATHER_MS 100
-#define GATHER_OPERATORS_MS 1000
+#define BATCH_DELAY_MS 100
+#define OPERATOR_BATCH_DELAY_MS 1000
 /* One of the others may come back to the stream late; it reads it whole then. */
-#define OPERATORS_PAUSE_MS (10 * 60 * 1000)
+#define OPERATOR_IDLE_INTERVAL_MS (10 * 60 * 1000)
 /* Ranks change with the members, and are worked out anew that often. */
-#define WAIT_EVERY_MS 1000
+#define WAIT_UPDATE_INTERVAL_MS 1000
 
-static void apply(struct node *n, int64_t offset, const char *id,
-		  const json_t *record)
+static void apply_record(struct node *n, int64_t offset, const char *id,
+			 const json_t *record)
 {
 	member_on_record(&n->member, offset, id, record, clock_now_ms());
 	audit_flush(&n->audit);
@@ -75,7 +75,7 @@
 		const struct scanned_record *r = g_ptr_array_index(records, i);
 
 		if (r->offset > n->member.fleet.applied)
-			apply(n, r->offset, r->id, r->record);
+			apply_record(n, r->offset, r->id, r->record);
 	}
 	EVENT(log_recovered, NULL,
 	      "\"records\":%u,\"first\":%" PRId64 ",\"end\":%" PRId64
@@ -98,10 +98,10 @@
 		return;
 	}
 	if (offset > n->member.fleet.applied) {
-		if (!n->pass_on)
-			n->pass_from = offset;
-		n->pass_on = true;
-		apply(n, offset, id, record);
+		if (!n->relay_pending)
+			n->relay_from = offset;
+		n->relay_pending = true;
+		apply_record(n, offset, id, record);
 	}
 	n->log.next = n->member.fleet.applied + 1;
 }
@@ -120,9 +120,9 @@
 			return;
 	}
 	member_on_log_tail(&n->member, sent_ms, clock_now_ms());
-	if (n->pass_on)
-		member_relay_records(&n->member, n->pass_from);
-	n->pass_on = false;
+	if (n->relay_pending)
+		member_relay_records(&n->member, n->relay_from);
+	n->relay_pending = false;
 }
 
 static void on_trimmed(void *user, int64_t first)
@@ -156,12 +156,12 @@
 
 	n->operators.next = offset + 1;
 	if (n->operators.trimmed) {
-		if (published_take(&n->published_newest, id, record))
-			n->newest_until = offset;
+		if (published_take(&n->rescanned_published, id, record))
+			n->rescanned_offset = offset;
 		return;
 	}
 	if (published_take(&n->published, id, record))
-		n->published_until = offset;
+		n->published_offset = offset;
 }
 
 static void on_published_tail(void *user, int64_t sent_ms)
@@ -172,18 +172,19 @@
 	if (n->operators.trimmed) {
 		/* Of what was removed meanwhile, the newest records tell
 		 * nothing but that it is not among them. */
-		if (published_replace(&n->published, &n->published_newest))
-			n->newest_until = n->operators.scan_from - 1;
-		n->published_until = MAX(n->published_until, n->newest_until);
+		if (published_replace(&n->published, &n->rescanned_published))
+			n->rescanned_offset = n->operators.scan_from - 1;
+		n->published_offset =
+			MAX(n->published_offset, n->rescanned_offset);
 		log_client_seek(&n->operators, n->operators.scan_from);
 	}
-	if (n->published_until > n->member.published_source &&
+	if (n->published_offset > n->member.published_source &&
 	    n->published.config) {
-		member_set_published(&n->member, n->published_until,
+		member_set_published(&n->member, n->published_offset,
 				     published_bytes(&n->published),
 				     clock_now_ms());
 		EVENT(published, NULL, "\"source\":%" PRId64 ",\"bytes\":%u",
-		      n->published_until, published_bytes(&n->published));
+		      n->published_offset, published_bytes(&n->published));
 	}
 	member_operator_stream_read(&n->member, clock_now_ms());
 }
@@ -192,7 +193,7 @@
 {
 	struct node *n = user;
 
-	published_clear(&n->published_newest);
+	published_clear(&n->rescanned_published);
 	log_client_scan(&n->operators, first);
 }
 
@@ -200,7 +201,7 @@
 {
 	struct node *n = user;
 
-	if (n->operators.ops && n->reads_operators)
+	if (n->operators.ops && n->reads_operator_stream)
 		log_client_is_back(&n->operators);
 }
 
@@ -232,22 +233,22 @@
  * one of them ends. So a few nodes, whichever are first by rank, wait for less;
  * the others learn from their peers that they missed something.
  */
-static bool is_lookout(const struct node *n)
+static bool uses_short_wait(const struct node *n)
 {
 	const struct member_node *m = &n->member;
 
-	return m->self_id &&
-	       assign_rank(&m->fleet, "publish", m->self_id) < N_LOOKOUTS;
+	return m->self_id && assign_rank(&m->fleet, "publish", m->self_id) <
+				     N_SHORT_WAIT_READERS;
 }
 
-static void follow_operators(struct node *n)
+static void update_operator_reads(struct node *n)
 {
 	bool reads = member_reads_operator_stream(&n->member);
 
-	if (!n->operators.ops || reads == n->reads_operators)
+	if (!n->operators.ops || reads == n->reads_operator_stream)
 		return;
-	n->reads_operators = reads;
-	n->operators.pause_ms = reads ? 0 : OPERATORS_PAUSE_MS;
+	n->reads_operator_stream = reads;
+	n->operators.pause_ms = reads ? 0 : OPERATOR_IDLE_INTERVAL_MS;
 	if (reads)
 		log_client_read_now(&n->operators);
 	else
@@ -261,17 +262,17 @@
 	struct read_plan plan;
 
 	if (m->log_read_due ||
-	    (m->behind_since_ms && now - m->behind_since_ms > DEAF_MS))
+	    (m->behind_since_ms && now - m->behind_since_ms > STALLED_READ_MS))
 		log_client_renew(&n->log);
 	m->log_read_due = false;
-	if (now >= n->next_wait_ms) {
-		n->next_wait_ms = now + WAIT_EVERY_MS;
-		follow_operators(n);
-		n->operators.wait_ms = LOG_WAIT_LONG_MS;
+	if (now >= n->next_wait_update_ms) {
+		n->next_wait_update_ms = now + WAIT_UPDATE_INTERVAL_MS;
+		update_operator_reads(n);
+		n->operators.wait_ms = LOG_WAIT_MAX_MS;
 		n->operators.retry_max_ms = RETRY_MAX_MS;
-		if (is_lookout(n)) {
-			n->operators.wait_ms = LOG_WAIT_LOOKOUT_MS;
-			n->operators.retry_max_ms = READER_RETRY_MS;
+		if (uses_short_wait(n)) {
+			n->operators.wait_ms = LOG_SHORT_WAIT_MS;
+			n->operators.retry_max_ms = READER_RETRY_MAX_MS;
 		}
 	}
 	read_plan_make(m, n->operators.wait_ms, &plan);
@@ -280,23 +281,26 @@
 	if (n->log.pause_ms > plan.pause_ms && log_client_up(&n->log))
 		log_client_read_now(&n->log);
 	n->log.pause_ms = plan.pause_ms;
-	n->operators.gather_ms = GATHER_MS;
-	n->log.retry_max_ms = m->is_log_reader ? READER_RETRY_MS : RETRY_MAX_MS;
+	n->operators.gather_ms = BATCH_DELAY_MS;
+	n->log.retry_max_ms = m->is_log_reader ? READER_RETRY_MAX_MS
+					       : RETRY_MAX_MS;
 	if (n->log.pause_ms)
-		n->operators.gather_ms = GATHER_OPERATORS_MS;
+		n->operators.gather_ms = OPERATOR_BATCH_DELAY_MS;
 	/* What operators changed is in force elsewhere by now, or nobody reads.
 	 */
 	if (m->published_source > m->fleet.source_offset &&
-	    now - m->published_since_ms > DEAF_MS &&
-	    now - n->log.read_sent_ms > DEAF_MS)
+	    now - m->published_since_ms > STALLED_READ_MS &&
+	    now - n->log.read_sent_ms > STALLED_READ_MS)
 		log_client_renew(&n->log);
 	if (!n->operators.ops)
 		return;
-	if (m->fleet.source_offset < n->operators.next || !n->reads_operators)
-		n->source_ahead_ms = 0;
-	else if (!n->source_ahead_ms)
-		n->source_ahead_ms = now;
-	else if (now - n->source_ahead_ms > DEAF_MS + n->operators.gather_ms)
+	if (m->fleet.source_offset < n->operators.next ||
+	    !n->reads_operator_stream)
+		n->source_ahead_since_ms = 0;
+	else if (!n->source_ahead_since_ms)
+		n->source_ahead_since_ms = now;
+	else if (now - n->source_ahead_since_ms >
+		 STALLED_READ_MS + n->operators.gather_ms)
 		log_client_renew(&n->operators);
 }
 
@@ -307,10 +311,10 @@
 
 	log_scan_init(&n->scan);
 	published_init(&n->published);
-	published_init(&n->published_newest);
-	n->published_until = -1;
-	n->newest_until = -1;
-	n->reads_operators = true;
+	published_init(&n->rescanned_published);
+	n->published_offset = -1;
+	n->rescanned_offset = -1;
+	n->reads_operator_stream = true;
 	if (n->settings.interface == INTERFACE_OWN) {
 		log_client_init(&n->log, n->loop, address, &log_http_ops,
 				&log_handlers, n);
@@ -325,7 +329,7 @@
 	member_expect_operator_stream(&n->member);
 	n->log.name = "fleet";
 	n->operators.name = "operators";
-	n->operators.wait_ms = LOG_WAIT_LONG_MS;
+	n->operators.wait_ms = LOG_WAIT_MAX_MS;
 }
 
 /* Stop reading, and drop appends under way. */
@@ -335,6 +339,6 @@
 	if (n->operators.ops)
 		log_client_finish(&n->operators);
 	published_finish(&n->published);
-	published_finish(&n->published_newest);
+	published_finish(&n->rescanned_published);
 	log_scan_finish(&n->scan);
 }
