--- a/node/node.c
+++ b/node/node.c
@@ -13,7 +13,7 @@
 /* For the answers to go out before the process ends. */
 #define FINAL_ANSWERS_MS 300
 /* For the last words to be read; the platform ends us 400 ms after the limit. */
-#define FINAL_ACK_TIMEOUT_MS 500
+#define STOPPING_ACK_TIMEOUT_MS 500
 #define TICK_S 0.05
 #define SEED_REQUEST_INTERVAL_MS 500
 #define WITNESS_STAY_MAX_MS 10000
@@ -85,7 +85,7 @@
 {
 	struct node *n = user;
 
-	return published_document(&n->published, in_force);
+	return published_document(&n->operator_records, in_force);
 }
 
 static void op_append(void *user, enum append_kind kind, json_t *record)
@@ -183,14 +183,14 @@
 		      "\"with\":%" PRId64 ",\"applied\":%" PRId64
 		      ",\"ms\":%" PRId64,
 		      subject, n->member.fleet.applied,
-		      clock_now_ms() - n->started_ms);
+		      clock_now_ms() - n->started_at_ms);
 	else if (!strcmp(what, NOTE_CURRENT))
 		EVENT(current, NULL,
 		      "\"version\":%" PRId64 ",\"source\":%" PRId64
 		      ",\"published\":%" PRId64 ",\"ms\":%" PRId64,
 		      subject, n->member.fleet.source_offset,
 		      n->member.published_source,
-		      clock_now_ms() - n->started_ms);
+		      clock_now_ms() - n->started_at_ms);
 	g_info("member %" G_GINT64_FORMAT ": %s %" G_GINT64_FORMAT,
 	       (gint64)n->member.self_id, what, (gint64)subject);
 	if (!strcmp(what, NOTE_STOPPED))
@@ -346,9 +346,9 @@
 	GByteArray *out;
 
 	if ((log_client_up(&n->log) && !n->log.trimmed) ||
-	    !n->settings.n_seeds || now < n->next_seed_request_ms)
+	    !n->settings.n_seeds || now < n->next_seed_request_at_ms)
 		return;
-	n->next_seed_request_ms = now + SEED_REQUEST_INTERVAL_MS;
+	n->next_seed_request_at_ms = now + SEED_REQUEST_INTERVAL_MS;
 	member_msg_init(&msg, MSG_RECORDS_REQUEST);
 	msg.applied = n->member.fleet.applied;
 	msg.offset = n->member.fleet.applied + 1;
@@ -396,10 +396,10 @@
 	gate_say_last(&n->gate);
 }
 
-static void await_final_acks(struct node *n, int64_t now)
+static void await_stopping_acks(struct node *n, int64_t now)
 {
 	if (!gate_was_heard(&n->gate) &&
-	    now - n->final_messages_at_ms < FINAL_ACK_TIMEOUT_MS)
+	    now - n->final_messages_at_ms < STOPPING_ACK_TIMEOUT_MS)
 		return;
 	ev_break(n->loop, EVBREAK_ALL);
 }
@@ -447,7 +447,7 @@
 	int64_t now = clock_now_ms();
 
 	if (n->final_messages_at_ms) {
-		await_final_acks(n, now);
+		await_stopping_acks(n, now);
 		return;
 	}
 	if (backend_keeps_running(n)) {
@@ -464,11 +464,11 @@
 
 	if (!member_has_left(&n->member))
 		return;
-	if (!n->left_ms)
-		n->left_ms = now;
+	if (!n->resigned_at_ms)
+		n->resigned_at_ms = now;
 	/* Those we vouch for need others first; not for ever, though. */
 	if (member_is_witness(&n->member) &&
-	    now - n->left_ms < WITNESS_STAY_MAX_MS)
+	    now - n->resigned_at_ms < WITNESS_STAY_MAX_MS)
 		return;
 	entry_drain(&n->entry);
 	if (now - n->stop_requested_at_ms < unready_notice_ms(n))
@@ -641,7 +641,7 @@
 	memset(n, 0, sizeof(*n));
 	n->settings = *s;
 	n->loop = loop;
-	n->started_ms = clock_now_ms();
+	n->started_at_ms = clock_now_ms();
 	/* First of all, for a second process here must find out by this. */
 	err = peers_init(&n->peers, loop, s->peer_address, on_peer, n);
 	if (err)
@@ -657,7 +657,7 @@
 					     g_free, g_free);
 	audit_init(&n->audit);
 	member_init(&n->member, &join_info, &timing, &member_ops, n,
-		    n->started_ms, g_random_int());
+		    n->started_at_ms, g_random_int());
 	n->member.on_event = on_event;
 	n->member.on_event_user = n;
 	gate_init(&n->gate, n);
--- a/node/node.h
+++ b/node/node.h
@@ -52,17 +52,19 @@
 	/* The backend server, by its heartbeats. */
 	struct server_instance server_instance;
 	bool backend_left;
-	struct log_client operators; /* what operators publish, elsewhere */
-	struct published published;
+	struct log_client
+		operator_stream; /* what operators publish, elsewhere */
+	struct published operator_records;
 	int64_t published_offset; /* the last record that changed it, -1 none */
-	struct published rescanned_published; /* as read anew, not in use yet */
+	struct published
+		rescanned_operator_records; /* as read anew, not in use yet */
 	int64_t rescanned_offset;
 	bool reads_operator_stream;
 	bool relay_pending; /* records were read that others wait for, from here
 			       on: */
 	int64_t relay_from;
 	int64_t source_ahead_since_ms; /* others read further since; 0 not */
-	int64_t next_wait_update_ms; /* when the reads' waits are worked out
+	int64_t next_wait_update_at_ms; /* when the reads' waits are worked out
 					anew */
 	struct audit audit;
 	GPtrArray *publishes; /* struct publish */
@@ -77,15 +79,15 @@
 	ev_signal sigint;
 	ev_signal sighup;
 	int64_t settings_mtime_ns; /* when their file was, 0 not looked */
-	int64_t next_settings_check_ms;
+	int64_t next_settings_check_at_ms;
 	bool stopping;
 	int64_t stop_requested_at_ms;
-	int64_t left_ms; /* when all was given up, 0 not yet */
+	int64_t resigned_at_ms; /* when all was given up, 0 not yet */
 	int64_t final_messages_at_ms; /* when the last words were said, 0 not
 					 yet */
-	int64_t next_seed_request_ms;
+	int64_t next_seed_request_at_ms;
 	uint32_t next_seed;
-	int64_t started_ms;
+	int64_t started_at_ms;
 };
 
 /*
--- a/node/reload.c
+++ b/node/reload.c
@@ -55,9 +55,9 @@
 
 void reload_tick(struct node *n, int64_t now_ms)
 {
-	if (now_ms < n->next_settings_check_ms)
+	if (now_ms < n->next_settings_check_at_ms)
 		return;
-	n->next_settings_check_ms = now_ms + CHECK_INTERVAL_MS;
+	n->next_settings_check_at_ms = now_ms + CHECK_INTERVAL_MS;
 	if (!n->settings_mtime_ns)
 		n->settings_mtime_ns = read_mtime_ns(n);
 	else if (read_mtime_ns(n) != n->settings_mtime_ns)
--- a/node/streams.c
+++ b/node/streams.c
@@ -154,13 +154,13 @@
 {
 	struct node *n = user;
 
-	n->operators.next = offset + 1;
-	if (n->operators.trimmed) {
-		if (published_take(&n->rescanned_published, id, record))
+	n->operator_stream.next = offset + 1;
+	if (n->operator_stream.trimmed) {
+		if (published_take(&n->rescanned_operator_records, id, record))
 			n->rescanned_offset = offset;
 		return;
 	}
-	if (published_take(&n->published, id, record))
+	if (published_take(&n->operator_records, id, record))
 		n->published_offset = offset;
 }
 
@@ -169,22 +169,25 @@
 	struct node *n = user;
 
 	(void)sent_ms;
-	if (n->operators.trimmed) {
+	if (n->operator_stream.trimmed) {
 		/* Of what was removed meanwhile, the newest records tell
 		 * nothing but that it is not among them. */
-		if (published_replace(&n->published, &n->rescanned_published))
-			n->rescanned_offset = n->operators.scan_from - 1;
+		if (published_replace(&n->operator_records,
+				      &n->rescanned_operator_records))
+			n->rescanned_offset = n->operator_stream.scan_from - 1;
 		n->published_offset =
 			MAX(n->published_offset, n->rescanned_offset);
-		log_client_seek(&n->operators, n->operators.scan_from);
+		log_client_seek(&n->operator_stream,
+				n->operator_stream.scan_from);
 	}
 	if (n->published_offset > n->member.published_source &&
-	    n->published.config) {
+	    n->operator_records.config) {
 		member_set_published(&n->member, n->published_offset,
-				     published_bytes(&n->published),
+				     published_bytes(&n->operator_records),
 				     clock_now_ms());
 		EVENT(published, NULL, "\"source\":%" PRId64 ",\"bytes\":%u",
-		      n->published_offset, published_bytes(&n->published));
+		      n->published_offset,
+		      published_bytes(&n->operator_records));
 	}
 	member_operator_stream_read(&n->member, clock_now_ms());
 }
@@ -193,16 +196,16 @@
 {
 	struct node *n = user;
 
-	published_clear(&n->rescanned_published);
-	log_client_scan(&n->operators, first);
+	published_clear(&n->rescanned_operator_records);
+	log_client_scan(&n->operator_stream, first);
 }
 
 static void on_fleet_regained(void *user)
 {
 	struct node *n = user;
 
-	if (n->operators.ops && n->reads_operator_stream)
-		log_client_is_back(&n->operators);
+	if (n->operator_stream.ops && n->reads_operator_stream)
+		log_client_is_back(&n->operator_stream);
 }
 
 static void on_operators_regained(void *user)
@@ -245,14 +248,14 @@
 {
 	bool reads = member_reads_operator_stream(&n->member);
 
-	if (!n->operators.ops || reads == n->reads_operator_stream)
+	if (!n->operator_stream.ops || reads == n->reads_operator_stream)
 		return;
 	n->reads_operator_stream = reads;
-	n->operators.pause_ms = reads ? 0 : OPERATOR_IDLE_INTERVAL_MS;
+	n->operator_stream.pause_ms = reads ? 0 : OPERATOR_IDLE_INTERVAL_MS;
 	if (reads)
-		log_client_read_now(&n->operators);
+		log_client_read_now(&n->operator_stream);
 	else
-		log_client_rest(&n->operators);
+		log_client_rest(&n->operator_stream);
 }
 
 /* Adjust the waits, and begin reads anew that others know to have missed news. */
@@ -265,43 +268,43 @@
 	    (m->behind_since_ms && now - m->behind_since_ms > STALLED_READ_MS))
 		log_client_renew(&n->log);
 	m->log_read_due = false;
-	if (now >= n->next_wait_update_ms) {
-		n->next_wait_update_ms = now + WAIT_UPDATE_INTERVAL_MS;
+	if (now >= n->next_wait_update_at_ms) {
+		n->next_wait_update_at_ms = now + WAIT_UPDATE_INTERVAL_MS;
 		update_operator_reads(n);
-		n->operators.wait_ms = LOG_WAIT_MAX_MS;
-		n->operators.retry_max_ms = RETRY_MAX_MS;
+		n->operator_stream.wait_ms = LOG_WAIT_MAX_MS;
+		n->operator_stream.retry_max_ms = RETRY_MAX_MS;
 		if (uses_short_wait(n)) {
-			n->operators.wait_ms = LOG_SHORT_WAIT_MS;
-			n->operators.retry_max_ms = READER_RETRY_MAX_MS;
+			n->operator_stream.wait_ms = LOG_SHORT_WAIT_MS;
+			n->operator_stream.retry_max_ms = READER_RETRY_MAX_MS;
 		}
 	}
-	read_plan_make(m, n->operators.wait_ms, &plan);
+	read_plan_make(m, n->operator_stream.wait_ms, &plan);
 	n->log.wait_ms = plan.wait_ms;
 	n->log.gather_ms = plan.gather_ms;
 	if (n->log.pause_ms > plan.pause_ms && log_client_up(&n->log))
 		log_client_read_now(&n->log);
 	n->log.pause_ms = plan.pause_ms;
-	n->operators.gather_ms = BATCH_DELAY_MS;
+	n->operator_stream.gather_ms = BATCH_DELAY_MS;
 	n->log.retry_max_ms = m->is_log_reader ? READER_RETRY_MAX_MS
 					       : RETRY_MAX_MS;
 	if (n->log.pause_ms)
-		n->operators.gather_ms = OPERATOR_BATCH_DELAY_MS;
+		n->operator_stream.gather_ms = OPERATOR_BATCH_DELAY_MS;
 	/* What operators changed is in force elsewhere by now, or nobody reads.
 	 */
 	if (m->published_source > m->fleet.source_offset &&
 	    now - m->published_since_ms > STALLED_READ_MS &&
 	    now - n->log.read_sent_ms > STALLED_READ_MS)
 		log_client_renew(&n->log);
-	if (!n->operators.ops)
+	if (!n->operator_stream.ops)
 		return;
-	if (m->fleet.source_offset < n->operators.next ||
+	if (m->fleet.source_offset < n->operator_stream.next ||
 	    !n->reads_operator_stream)
 		n->source_ahead_since_ms = 0;
 	else if (!n->source_ahead_since_ms)
 		n->source_ahead_since_ms = now;
 	else if (now - n->source_ahead_since_ms >
-		 STALLED_READ_MS + n->operators.gather_ms)
-		log_client_renew(&n->operators);
+		 STALLED_READ_MS + n->operator_stream.gather_ms)
+		log_client_renew(&n->operator_stream);
 }
 
 /* Begin to read. */
@@ -310,8 +313,8 @@
 	const char *address = n->settings.log;
 
 	log_scan_init(&n->scan);
-	published_init(&n->published);
-	published_init(&n->rescanned_published);
+	published_init(&n->operator_records);
+	published_init(&n->rescanned_operator_records);
 	n->published_offset = -1;
 	n->rescanned_offset = -1;
 	n->reads_operator_stream = true;
@@ -323,22 +326,22 @@
 	log_client_init(&n->log, n->loop, address, &store_fleet_ops,
 			&log_handlers, n);
 	log_client_recover_first(&n->log);
-	log_client_init(&n->operators, n->loop, address, &store_operator_ops,
-			&operator_handlers, n);
-	log_client_recover_first(&n->operators);
+	log_client_init(&n->operator_stream, n->loop, address,
+			&store_operator_ops, &operator_handlers, n);
+	log_client_recover_first(&n->operator_stream);
 	member_expect_operator_stream(&n->member);
 	n->log.name = "fleet";
-	n->operators.name = "operators";
-	n->operators.wait_ms = LOG_WAIT_MAX_MS;
+	n->operator_stream.name = "operators";
+	n->operator_stream.wait_ms = LOG_WAIT_MAX_MS;
 }
 
 /* Stop reading, and drop appends under way. */
 void streams_finish(struct node *n)
 {
 	log_client_finish(&n->log);
-	if (n->operators.ops)
-		log_client_finish(&n->operators);
-	published_finish(&n->published);
-	published_finish(&n->rescanned_published);
+	if (n->operator_stream.ops)
+		log_client_finish(&n->operator_stream);
+	published_finish(&n->operator_records);
+	published_finish(&n->rescanned_operator_records);
 	log_scan_finish(&n->scan);
 }
