--- a/audit/audit.c
+++ b/audit/audit.c
@@ -12,14 +12,12 @@
 	g_free(m);
 }
 
-/* Set up an empty trail. */
 void audit_init(struct audit *a)
 {
 	memset(a, 0, sizeof(*a));
 	a->moves = g_ptr_array_new_with_free_func(moves_free);
 }
 
-/* Release the lines. */
 void audit_finish(struct audit *a)
 {
 	uint32_t i;
@@ -135,7 +133,6 @@
 	}
 }
 
-/* Take note of one change. */
 void audit_event(struct audit *a, const struct fleet_event *ev)
 {
 	const char *what = member_text(ev);
--- a/audit/audit.h
+++ b/audit/audit.h
@@ -7,9 +7,9 @@
 #include "state/fleet.h"
 
 /*
- * The trail of changes: every change of ownership, membership and
- * configuration, with who, why and the log offset that made it. Every node
- * derives the same trail from the log; each keeps the newest lines.
+ * The audit trail: every change of ownership, membership and configuration,
+ * with who made it, the reason, and the log offset of its record. All nodes
+ * derive the same trail from the log; each keeps the newest AUDIT_LINES lines.
  */
 
 #define AUDIT_LINES 4096
@@ -20,6 +20,7 @@
 	char *text;
 };
 
+/* The shards that one record moved from one owner to another. */
 struct audit_moves {
 	int64_t offset;
 	char service[NAME_MAX_LEN + 1];
@@ -27,25 +28,32 @@
 	int64_t to;
 	char *why;
 	GString *shards;
-	uint32_t first; /* of the shards in a row that end the list so far */
+	/* The last range of shards; its end is not in the text yet. */
+	uint32_t first;
 	uint32_t last;
 };
 
 struct audit {
 	struct audit_line lines[AUDIT_LINES];
-	int64_t next;
-	/* Moves of one record, a line for each pair of owners. */
+	int64_t next; /* number of the next line */
+	/* Moves by the last record: one entry for each pair of owners. */
 	GPtrArray *moves; /* struct audit_moves */
 };
 
+/* Initialises an empty trail; end its use by audit_finish(). */
 void audit_init(struct audit *a);
 void audit_finish(struct audit *a);
+
+/* Records a change. Moves of shards are collected until audit_flush(). */
 void audit_event(struct audit *a, const struct fleet_event *ev);
 
-/* End a line still being gathered; call after each record. */
+/* Writes the lines of the moves collected; call after each record. */
 void audit_flush(struct audit *a);
 
-/* Append the lines from a number on; returns the number after the last. */
+/*
+ * Appends the lines from a number on that are still kept to out. Returns the
+ * number of the next line, from which the caller can continue.
+ */
 int64_t audit_text(const struct audit *a, int64_t from, GString *out);
 
 #endif
