--- a/node/backend.c
+++ b/node/backend.c
@@ -10,13 +10,16 @@
 #include "util/result.h"
 
 #define MAX_BODY_BYTES (256 * 1024)
-/* The platform takes answers of at most 4 KiB. */
+/* The platform accepts answers of at most 4 KiB. */
 #define MAX_ANSWER_BYTES 4000
-/* Connections beside those in use: one closing while its successor opens. */
+/*
+ * Connections beyond one for each slot: a connection may still be closing while
+ * its replacement opens.
+ */
 #define SPARE_CONNECTIONS 4
 /*
- * Keys that no heartbeat renewed have run out at the server after their lease.
- * Then it serves none of them, and another server should.
+ * Grants that no heartbeat renews end at the backend server after a lease at
+ * most. It then serves none of the shards, and another one should get them.
  */
 #define HEARTBEAT_TIMEOUT_LEASES 1
 #define HEARTBEAT_TIMEOUT_MARGIN_MS 500
@@ -63,7 +66,7 @@
 {
 	if (check == INSTANCE_NEW) {
 		grants_new_instance(&n->gate.grants);
-		/* What was granted to the life before ended with it. */
+		/* The grants of the previous instance ended with it. */
 		if (n->member.self_id)
 			node_backend_left(n);
 		announce_instance(n, a);
@@ -76,7 +79,11 @@
 				 clock_now_ms());
 }
 
-/* The answer to a heartbeat; n_included of its rows had room. */
+/*
+ * Returns the answer to a heartbeat, newly allocated. Sets *rows to the rows to
+ * grant (or NULL), *hold_ms to how long they are granted for, and *n_included
+ * to how many of the rows fit into the answer.
+ */
 static char *encode_answer(struct node *n, const struct grant_owner *o,
 			   bool with_handovers, GArray **rows, int64_t *hold_ms,
 			   uint32_t *n_included)
@@ -104,7 +111,11 @@
 	text = encode_answer(n, &owner, true, &rows, &hold_ms, &n_included);
 	if (!rows)
 		return text;
-	/* Cold keys are better than keys let go because a row had no room. */
+	/*
+	 * If not all rows fit, send them without handovers: a key without its
+	 * handover starts cold, but the backend server releases a key that is
+	 * in no row.
+	 */
 	if (n_included < rows->len) {
 		g_free(text);
 		g_array_unref(rows);
@@ -112,7 +123,7 @@
 				     &n_included);
 	}
 	if (n_included < rows->len)
-		g_warning("%u of %u rows left out of an answer too long",
+		g_warning("heartbeat answer too long: %u of %u rows left out",
 			  rows->len - n_included, rows->len);
 	MEASURE(grant_ms, hold_ms);
 	grant_heartbeat_answered(&n->gate.grants, rows, n_included, number,
@@ -136,7 +147,7 @@
 	if (why->len) {
 		EVENT(server_refused, NULL, "\"server\":\"%s\",\"why\":\"%s\"",
 		      event_text(id), event_text(why->str));
-		g_info("heartbeat of %s not taken: %s", id, why->str);
+		g_info("heartbeat of %s refused: %s", id, why->str);
 		reply_json(r, 400, "{}");
 		goto out;
 	}
--- a/node/backend.h
+++ b/node/backend.h
@@ -2,16 +2,22 @@
 #define NODE_BACKEND_H
 
 /*
- * What the backend server beside this node says of itself by heartbeats, and
- * what it is told in their answers: the platform's way. Our own interface has
- * it announce itself once to the operators' side.
+ * The platform's HTTP interface to a node: the ready page, and the heartbeats
+ * of the backend server beside this node, whose answers may grant it shards. In
+ * Briargrade's own interface, the backend server instead announces itself once
+ * through the operators' interface (node/operator.c).
  */
 
 struct node;
 
-/* Listen where the settings say. Results as httpd_init(). */
+/*
+ * Listens on the addresses in the settings for the ready page and for
+ * heartbeats; an empty address is skipped. Returns the results of httpd_init().
+ */
 int backend_init(struct node *n);
 void backend_finish(struct node *n);
+
+/* Resigns once the backend server has sent no heartbeat for a lease. */
 void backend_tick(struct node *n);
 
 #endif
--- a/node/granter.c
+++ b/node/granter.c
@@ -10,11 +10,15 @@
 #include "util/event.h"
 #include "util/result.h"
 
-/* The server answers a grant at once; one that it did not will not come. */
+/* The backend server answers a grant at once, or not at all. */
 #define GRANT_TIMEOUT_MS 250
-/* A release is answered when the work on its keys has ended. */
+/* A release is answered once the work in progress on its keys has ended. */
 #define RELEASE_TIMEOUT_MS 1500
-/* A server that ended after its heartbeat is not back before that. */
+/*
+ * How long after a heartbeat connections for grants may be opened. A backend
+ * server that ended right after its heartbeat takes longer than this to
+ * restart, so such a connection reaches the instance that sent the heartbeat.
+ */
 #define CONNECT_AFTER_HEARTBEAT_MS 300
 
 static void start_due_calls(struct granter *x);
@@ -76,7 +80,10 @@
 	r->busy = false;
 	x->n_busy[r->call.kind]--;
 	g_clear_pointer(&r->body, g_free);
-	/* A connection that ended or could not be opened: is it the same life? */
+	/*
+	 * The connection closed or could not be opened, so the backend server
+	 * may have restarted: send no grants until its next heartbeat.
+	 */
 	if (f->unopened || (result && result != RESULT_TIMEOUT))
 		x->awaits_heartbeat = true;
 	if (result == RESULT_UNREACHABLE && f->refused)
@@ -87,7 +94,10 @@
 	emit_outcome(r, outcome, result);
 	grant_call_done(g, &r->call, outcome,
 			grant_wire_handover(f->answer_headers), clock_now_ms());
-	/* Else all that was due is on its way, and the next tick looks again. */
+	/*
+	 * At the limit, other calls may be due. Otherwise all due calls have
+	 * been started, and the next tick checks again.
+	 */
 	if (x->at_limit)
 		start_due_calls(x);
 }
--- a/node/granter.h
+++ b/node/granter.h
@@ -8,21 +8,24 @@
 #include "net/fetch.h"
 
 /*
- * Carries the calls that gate/grant-call.h decides on to the backend server
- * beside this node, a few at a time.
+ * Sends the calls that gate/grant-call.h chooses to the backend server beside
+ * this node, a few at a time.
  *
- * A call does not say which life of the server it is meant for. A server that
- * ended and started again at the same address, before its first heartbeat has
- * told us so, would take keys under a fence that its life before already had.
- * So what gives keys goes only over connections opened soon after a heartbeat
- * of the life that we know: those end with it.
+ * A call does not name the instance of the backend server that it is meant for.
+ * If the backend server has restarted at the same address, and its first
+ * heartbeat has not arrived yet, the new instance would accept a grant meant
+ * for the previous one, under a fence that the previous one already had. So
+ * grants are sent only over connections opened soon after a heartbeat of the
+ * known instance: these close when that instance ends.
  */
 
 struct node;
 
+/* Calls in flight at a time, by kind. */
 #define GRANTER_MAX_GRANTS 4
 #define GRANTER_MAX_RELEASES 8
 
+/* A call and its HTTP request; unused unless busy. */
 struct granter_request {
 	struct granter *granter;
 	struct grant_call call;
@@ -36,19 +39,22 @@
 	struct fetcher fetcher;
 	struct granter_request
 		requests[GRANTER_MAX_GRANTS + GRANTER_MAX_RELEASES];
-	uint32_t n_busy[2]; /* by kind of call */
-	int64_t last_heartbeat_at_ms; /* the server's last heartbeat */
-	bool awaits_heartbeat; /* no grants before the next one */
-	bool at_limit; /* there was more to call than could be carried */
+	uint32_t n_busy[2]; /* by enum grant_call_kind */
+	int64_t last_heartbeat_at_ms; /* of the known instance */
+	bool awaits_heartbeat; /* send no grants before the next one */
+	bool at_limit; /* the most calls of a kind are in flight */
 };
 
 void granter_init(struct granter *x, struct node *node);
 void granter_finish(struct granter *x);
 
-/* A heartbeat of the life that we know was heard. */
+/*
+ * The known instance of the backend server sent a heartbeat: grants may be sent
+ * again.
+ */
 void granter_on_heartbeat(struct granter *x);
 
-/* Carry what is due. */
+/* Starts the calls that are due. */
 void granter_tick(struct granter *x);
 
 #endif
