--- a/node/node.c
+++ b/node/node.c
@@ -10,19 +10,29 @@
 #include "util/histogram.h"
 #include "util/result.h"
 
-/* For the answers to go out before the process ends. */
+/*
+ * How long before the stop limit all open requests are answered, so that the
+ * answers are sent before the process ends.
+ */
 #define FINAL_ANSWERS_MS 300
-/* For the last words to be read; the platform ends us 400 ms after the limit. */
+/*
+ * How long to wait until the final messages are acknowledged. The platform
+ * kills the process 400 ms after the stop limit.
+ */
 #define STOPPING_ACK_TIMEOUT_MS 500
 #define TICK_S 0.05
 #define SEED_REQUEST_INTERVAL_MS 500
+/* How long a process that has resigned stays for members it is a witness of. */
 #define WITNESS_STAY_MAX_MS 10000
 #define MAX_ADDRESSES 8192
-/* The platform asks every second, and twice before it believes. */
+/*
+ * How long the platform takes to notice that the ready page says no: it asks
+ * every second, and acts on the second such answer.
+ */
 #define UNREADY_NOTICE_MS 2300
 #define BOOT_ID_FILE "/proc/sys/kernel/random/boot_id"
 
-/* The message being handled, to answer over the link that it came by. */
+/* Where the member message being handled came from; answers use its link. */
 static const struct peer_source *current_source;
 
 bool node_accepts_unsharded(const struct node *n)
@@ -102,8 +112,8 @@
 }
 
 /*
- * Whether a backend server that reports what it holds has not done so yet. The
- * process before this one may have granted it anything.
+ * Whether the backend server reports which shards it holds, and has not done so
+ * yet. Until then it may hold any shard, by a grant of the previous process.
  */
 static bool holdings_unknown(const struct node *n)
 {
@@ -209,7 +219,10 @@
 
 static void remember_address(struct node *n, int64_t id, const char *address)
 {
-	/* Addresses of those long gone: only a witness just left matters. */
+	/*
+	 * Most addresses are of members removed long ago. The only ones needed
+	 * are of witnesses that have just left.
+	 */
 	if (g_hash_table_size(n->addresses) >= MAX_ADDRESSES)
 		g_hash_table_remove_all(n->addresses);
 	g_hash_table_replace(n->addresses, g_memdup2(&id, sizeof(id)),
@@ -217,8 +230,9 @@
 }
 
 /*
- * A member was replaced by one of the same host. Unless it is the same process
- * that joined anew, the old one is gone: one process to a peer address.
+ * A member was replaced by another one of the same host. Unless the same
+ * process joined again, the previous process has ended, since only one process
+ * can listen on a peer address.
  */
 static void report_replaced_process(struct node *n, const struct member *m)
 {
@@ -274,7 +288,7 @@
 	operator_on_event(n, ev);
 }
 
-/* Records that peers sent need not be read from the log any more. */
+/* Makes the log client skip the records that peers have already sent. */
 static void skip_records_from_peers(struct node *n)
 {
 	int64_t next = n->member.fleet.applied + 1;
@@ -296,7 +310,10 @@
 		       current_source->address);
 		return;
 	}
-	/* It may have joined by a record that we lack, and is to be asked for. */
+	/*
+	 * The sender may have joined by a record that is missing here. Its
+	 * address is needed to ask it for that record.
+	 */
 	if (msg.from && !fleet_member(&n->member.fleet, msg.from))
 		remember_address(n, msg.from, current_source->address);
 	member_on_message(&n->member, &msg, clock_now_ms());
@@ -339,7 +356,10 @@
 	current_source = NULL;
 }
 
-/* While the log cannot be read, any peer's copy of it will do. */
+/*
+ * While the log cannot be read, or begins after the next record needed, asks
+ * the seeds in turn for that record and those after it: any peer may have them.
+ */
 static void request_records_from_seed(struct node *n, int64_t now)
 {
 	struct member_msg msg;
@@ -361,8 +381,8 @@
 }
 
 /*
- * Whether only this process stops and its backend server goes on. The process
- * that follows takes up its keys, so they are not moved.
+ * Whether the backend server keeps running when this process stops. The next
+ * process on the host then takes over its keys, so they are not moved.
  */
 static bool backend_keeps_running(const struct node *n)
 {
@@ -370,26 +390,29 @@
 	       n->server_instance.id[0];
 }
 
-/* How long callers may still be sent here after we were asked to stop. */
+/* How long callers may still be sent to this node after a request to stop. */
 static int64_t unready_notice_ms(const struct node *n)
 {
 	return n->settings.ready_address[0] ? UNREADY_NOTICE_MS : 0;
 }
 
-/* Whether what is still in progress must be given up. */
+/* Whether the stop limit is so near that no request may go on. */
 static bool stop_limit_reached(const struct node *n, int64_t stopping_for_ms)
 {
 	return stopping_for_ms >= n->settings.stop_limit_ms - FINAL_ANSWERS_MS;
 }
 
-/* A connection that just ends tells its caller nothing. */
+/*
+ * Answers all open requests shortly before the stop limit: a connection that
+ * closes without an answer does not tell its caller whether the request ran.
+ */
 static void answer_all_at_limit(struct node *n, int64_t stopping_for_ms)
 {
 	if (stop_limit_reached(n, stopping_for_ms))
 		entry_answer_all(&n->entry);
 }
 
-/* Say what there is left to say; the loop ends once that has been read. */
+/* The loop ends once the entries have acknowledged these messages. */
 static void send_final_messages(struct node *n, int64_t now)
 {
 	n->final_messages_at_ms = now;
@@ -404,17 +427,24 @@
 	ev_break(n->loop, EVBREAK_ALL);
 }
 
-/* Stop beside a backend server that goes on: end what runs, then leave. */
+/*
+ * Stops beside a backend server that keeps running: ends once no request is in
+ * progress, or at the stop limit. The process does not resign.
+ */
 static void tick_stop_beside_backend(struct node *n)
 {
 	int64_t stopping_for_ms = clock_now_ms() - n->stop_requested_at_ms;
 	bool idle;
 
 	entry_drain(&n->entry);
-	/* Others can serve what needs no key; for a key there is only us. */
+	/*
+	 * Requests without a key can be served by other nodes, so they are
+	 * refused at once. Requests for a key can only be served here, so they
+	 * are accepted until the platform sends callers elsewhere.
+	 */
 	if (!n->gate.grants.n_shards || stopping_for_ms >= UNREADY_NOTICE_MS)
 		gate_stop_taking(&n->gate);
-	/* Callers are sent here until the platform has noticed. */
+	/* Until then the platform may still send callers to this node. */
 	if (stopping_for_ms < UNREADY_NOTICE_MS)
 		return;
 	entry_close(&n->entry);
@@ -430,8 +460,9 @@
 }
 
 /*
- * Where a ready page tells callers to go elsewhere, they are let in only until
- * that has been noticed: those let in later would be cut off at the time limit.
+ * If there is a ready page, accepts new connections only until the platform has
+ * noticed that the node is not ready: callers that connect later would be cut
+ * off at the stop limit.
  */
 static void drain_callers(struct node *n, int64_t stopping_for_ms)
 {
@@ -466,7 +497,10 @@
 		return;
 	if (!n->resigned_at_ms)
 		n->resigned_at_ms = now;
-	/* Those we vouch for need others first; not for ever, though. */
+	/*
+	 * Members whose witness this process is need to replace it first. Wait
+	 * for that no longer than WITNESS_STAY_MAX_MS.
+	 */
 	if (member_is_witness(&n->member) &&
 	    now - n->resigned_at_ms < WITNESS_STAY_MAX_MS)
 		return;
@@ -516,7 +550,7 @@
 	(void)events;
 	if (n->stopping)
 		return;
-	g_info("asked to stop: finishing what is in progress");
+	g_info("stopping: finishing the requests in progress");
 	EVENT(stopping, NULL, "\"requests\":%u,\"running\":%u",
 	      n->entry.requests->len, n->gate.load.n_in_flight);
 	n->stopping = true;
@@ -542,7 +576,7 @@
 
 void node_backend_left(struct node *n)
 {
-	/* Its next heartbeat, if there is one, announces it again. */
+	/* If it sends another heartbeat, that announces it again. */
 	n->backend_left = true;
 	member_set_membership_wanted(&n->member, false, clock_now_ms());
 }
@@ -561,7 +595,7 @@
 		g_strlcpy(m->boot_id, g_strstrip(boot), sizeof(m->boot_id));
 }
 
-/* The tick wakes the loop much sooner, unless the process does not run. */
+/* The tick wakes the loop much sooner, unless the process is paused. */
 #define PAUSE_THRESHOLD_US 250000
 
 bool node_was_paused(const struct node *n)
@@ -594,7 +628,10 @@
 			(n->round_end_us - n->round_start_us) / 1000.0);
 }
 
-/* How long a round takes: nothing that comes in meanwhile is looked at. */
+/*
+ * Measures how long each round of the loop takes, as nothing that arrives
+ * during a round is handled before its end.
+ */
 static void init_round_watchers(struct node *n)
 {
 	ev_check_init(&n->round_start_watcher, on_round_start);
@@ -642,7 +679,10 @@
 	n->settings = *s;
 	n->loop = loop;
 	n->started_at_ms = clock_now_ms();
-	/* First of all, for a second process here must find out by this. */
+	/*
+	 * Before anything else: a second process with the same settings fails
+	 * here, as the address is in use, and must not have done anything yet.
+	 */
 	err = peers_init(&n->peers, loop, s->peer_address, on_peer, n);
 	if (err)
 		return cannot_listen(errors, s->peer_address, err);
@@ -676,13 +716,11 @@
 	return RESULT_OK;
 }
 
-/* Run until asked to stop and nothing is in progress. */
 void node_run(struct node *n)
 {
 	ev_run(n->loop, 0);
 }
 
-/* Release everything. */
 void node_finish(struct node *n)
 {
 	ev_timer_stop(n->loop, &n->tick);
--- a/node/node.h
+++ b/node/node.h
@@ -17,25 +17,31 @@
 #include "platform/operator.h"
 #include "settings/settings.h"
 
-/* How long a read of the log waits for news where nothing hurries. */
+/* The longest that a read waits for new records at the log. */
 #define LOG_WAIT_MAX_MS 10000
 
-/* How far a caller's clock may be off from ours (docs/design/at-most-once). */
+/*
+ * The largest difference between a caller's clock and the clock of this host
+ * (docs/design/at-most-once).
+ */
 #define CALLER_CLOCK_BOUND_MS 2000
 
-/* An operator's configuration on its way into the log. */
+/*
+ * A configuration that an operator posted, while its record is appended to the
+ * log and until the record has been applied.
+ */
 struct publish {
-	struct httpd_request *http;
-	char id[32];
+	struct httpd_request *http; /* NULL once answered or closed */
+	char id[32]; /* part of the record, to find it when it is applied */
 	int64_t base;
 	int64_t started_at_ms;
-	bool appended; /* in the log; its fate is known once we apply it */
-	bool in_force;
+	bool appended; /* in the log; takes effect, or not, when applied */
+	bool in_force; /* applied, and in force */
 	int64_t version;
-	bool dropped;
+	bool dropped; /* applied, and dropped as another change came first */
 };
 
-/* One process beside a backend server. */
+/* The state of one process, which runs beside a backend server. */
 struct node {
 	struct settings settings;
 	struct ev_loop *loop;
@@ -46,89 +52,131 @@
 	struct gate gate;
 	struct granter granter;
 	struct httpd operator_httpd;
-	struct httpd ready_httpd; /* the platform asks here whether we are */
+	struct httpd ready_httpd; /* the ready page, read by the platform */
 	struct httpd announce_httpd; /* the backend server's heartbeats */
-	struct member superseded; /* by the join being applied; id 0 none */
-	/* The backend server, by its heartbeats. */
-	struct server_instance server_instance;
-	bool backend_left;
-	struct log_client
-		operator_stream; /* what operators publish, elsewhere */
+	struct member superseded; /* by the join being applied; id 0: none */
+	struct server_instance server_instance; /* last one by heartbeat */
+	bool backend_left; /* it stopped, or is about to */
+	struct log_client operator_stream; /* where operators publish */
 	struct published operator_records;
-	int64_t published_offset; /* the last record that changed it, -1 none */
-	struct published
-		rescanned_operator_records; /* as read anew, not in use yet */
-	int64_t rescanned_offset;
+	int64_t published_offset; /* last record that changed them, -1: none */
+	/* Collected while all of the operators' stream is read, then used. */
+	struct published rescanned_operator_records;
+	int64_t rescanned_offset; /* last record that changed them */
 	bool reads_operator_stream;
-	bool relay_pending; /* records were read that others wait for, from here
-			       on: */
+	/* Records from relay_from on were read and not yet sent to followers. */
+	bool relay_pending;
 	int64_t relay_from;
-	int64_t source_ahead_since_ms; /* others read further since; 0 not */
-	int64_t next_wait_update_at_ms; /* when the reads' waits are worked out
-					anew */
+	/*
+	 * Since when the fleet's state has included a change from a record of
+	 * the operators' stream that was not read here yet; 0: it does not.
+	 */
+	int64_t source_ahead_since_ms;
+	int64_t next_wait_update_at_ms; /* of how long reads wait */
 	struct audit audit;
 	GPtrArray *publishes; /* struct publish */
-	GHashTable *addresses; /* last address of each member seen */
-	struct log_scan scan; /* records met while looking for a snapshot */
+	GHashTable *addresses; /* last peer address of each member seen */
+	struct log_scan scan; /* records read while looking for a snapshot */
 	ev_timer tick;
 	ev_check round_start_watcher;
 	ev_prepare round_end_watcher;
-	int64_t round_start_us; /* when this round of the loop began */
-	int64_t round_end_us; /* when the one before ended */
+	int64_t round_start_us; /* of the current round of the loop */
+	int64_t round_end_us; /* of the previous round */
 	ev_signal sigterm;
 	ev_signal sigint;
 	ev_signal sighup;
-	int64_t settings_mtime_ns; /* when their file was, 0 not looked */
+	int64_t settings_mtime_ns; /* of their file; 0: not read yet */
 	int64_t next_settings_check_at_ms;
 	bool stopping;
 	int64_t stop_requested_at_ms;
-	int64_t resigned_at_ms; /* when all was given up, 0 not yet */
-	int64_t final_messages_at_ms; /* when the last words were said, 0 not
-					 yet */
+	int64_t resigned_at_ms; /* 0: not yet */
+	int64_t final_messages_at_ms; /* sent to all entries; 0: not yet */
 	int64_t next_seed_request_at_ms;
 	uint32_t next_seed;
 	int64_t started_at_ms;
 };
 
 /*
- * Set up on caller's memory. Returns RESULT_OK, or RESULT_IO naming in
- * errors the address that cannot be used.
+ * Initialises *n, which the caller owns, and starts listening. Returns
+ * RESULT_OK, or RESULT_IO after adding a line to errors that names the address
+ * which cannot be used.
  */
 int node_init(struct node *n, const struct settings *s, struct ev_loop *loop,
 	      GString *errors);
+
+/* Runs the loop until the process was asked to stop and may end. */
 void node_run(struct node *n);
+
+/* Stops listening and releases everything. */
 void node_finish(struct node *n);
 
-/* Whether this round of the loop has lasted so long that it was interrupted. */
+/*
+ * Whether the current round of the loop has lasted so long that the process was
+ * probably paused during it.
+ */
 bool node_was_paused(const struct node *n);
 
-/* Whether the gate here may take work that belongs to no shard. */
+/* Whether the gate of this node accepts requests that belong to no shard. */
 bool node_accepts_unsharded(const struct node *n);
 
-/* Whether callers should be sent to the entry here. */
+/* Whether callers should be sent to the entry of this node. */
 bool node_is_ready(const struct node *n);
 
-/* The backend server came or went. */
+/* The backend server announced itself: the node joins the fleet. */
 void node_backend_announced(struct node *n);
+
+/* The backend server stopped or is about to: the node resigns. */
 void node_backend_left(struct node *n);
 
 /* node/streams.c */
+
+/* Starts to read the fleet's stream, and the operators' if there is one. */
 void streams_init(struct node *n);
+
+/* Updates how long reads wait, and replaces reads that have stalled. */
 void streams_tick(struct node *n, int64_t now);
+
+/* Stops reading, and drops the appends in flight. */
 void streams_finish(struct node *n);
 
 /* node/reload.c */
+
+/* Reloads the settings; a file with errors changes nothing. */
 void node_reload(struct node *n);
+
+/* Reloads the settings if their file has changed. */
 void reload_tick(struct node *n, int64_t now_ms);
 
 /* node/operator.c */
+
+/*
+ * Starts to listen for operators, and for the backend server's announcements.
+ * Returns the results of httpd_init().
+ */
 int operator_init(struct node *n);
+
+/* Stops listening. */
 void operator_finish(struct node *n);
+
+/*
+ * Answers operators whose records have been applied, or that have waited too
+ * long.
+ */
 void operator_tick(struct node *n);
+
+/*
+ * An operator's append ended, with a RESULT_*. Whether the configuration is in
+ * force is known once the record is applied.
+ */
 void operator_appended(struct node *n, struct publish *p, int result);
+
+/*
+ * If a configuration record was applied or dropped, sets the outcome for the
+ * operator who sent it.
+ */
 void operator_on_event(struct node *n, const struct fleet_event *ev);
 
-/* The mark of an operator's append among the kinds of append. */
+/* Kinds of append by operators, in addition to enum append_kind. */
 #define APPEND_OPERATOR N_APPEND_KINDS
 #define APPEND_DECLARE_LOST (N_APPEND_KINDS + 1)
 
--- a/node/reload.c
+++ b/node/reload.c
@@ -5,14 +5,15 @@
 #include "util/event.h"
 
 /*
- * Reading the settings again, on SIGHUP or when the file has changed. Only what
- * can change under way is taken over; addresses stay as they are, so nothing in
- * progress is cut.
+ * Reloads the settings on SIGHUP, or when their file has changed. Applies only
+ * the settings that can change while the process runs; addresses stay as they
+ * are, so that no request in progress is cut off.
  */
 
-/* The file may change without a signal; this is how soon that is noticed. */
+/* How often to check whether the file has changed without a SIGHUP. */
 #define CHECK_INTERVAL_MS 2000
 
+/* When the settings file was last modified; 0 if that cannot be read. */
 static int64_t read_mtime_ns(const struct node *n)
 {
 	struct stat st;
@@ -35,7 +36,6 @@
 	s->kept_idle_s = new->kept_idle_s;
 }
 
-/* Read the settings again; a file with problems changes nothing. */
 void node_reload(struct node *n)
 {
 	struct settings *new = g_new0(struct settings, 1);
@@ -43,11 +43,11 @@
 
 	n->settings_mtime_ns = read_mtime_ns(n);
 	if (settings_read(new, n->settings.path, errors)) {
-		g_warning("settings not read again: %s", errors->str);
+		g_warning("settings not reloaded: %s", errors->str);
 	} else {
 		apply_reloadable(&n->settings, new);
 		EVENT(reloaded, NULL, "\"seeds\":%u", n->settings.n_seeds);
-		g_info("settings read again, %u seeds", n->settings.n_seeds);
+		g_info("settings reloaded, %u seeds", n->settings.n_seeds);
 	}
 	g_string_free(errors, TRUE);
 	g_free(new);
