--- a/node/operator.c
+++ b/node/operator.c
@@ -9,6 +9,8 @@
 #include "util/histogram.h"
 #include "util/result.h"
 
+/* The operators' HTTP interface: status, metrics, configuration, audit trail. */
+
 #define MAX_DOCUMENT_BYTES (4 * 1024 * 1024)
 #define PUBLISH_TIMEOUT_MS 8000
 #define MAX_PUBLISHES 32
@@ -235,7 +237,7 @@
 	if (json_is_object(o))
 		return o;
 	json_decref(o);
-	reply_problem(r, 400, "the body is no JSON object");
+	reply_problem(r, 400, "the body is not a JSON object");
 	return NULL;
 }
 
@@ -310,7 +312,6 @@
 			  "another change came first; nothing was changed"));
 }
 
-/* An operator's append ended; what became of it shows when it is applied. */
 void operator_appended(struct node *n, struct publish *p, int result)
 {
 	p->appended = result == RESULT_OK;
@@ -328,8 +329,6 @@
 	}
 }
 
-/* Match the outcome of a configuration record to the operator written_by sent
- * it. */
 void operator_on_event(struct node *n, const struct fleet_event *ev)
 {
 	uint32_t i;
@@ -348,7 +347,6 @@
 	}
 }
 
-/* Answer operators whose records have been applied, or took too long. */
 void operator_tick(struct node *n)
 {
 	int64_t now = clock_now_ms();
@@ -367,11 +365,13 @@
 
 			p->http = NULL;
 			http->user = NULL;
-			reply_json(http, 504,
-				   json_pack("{s:s,s:s}", "outcome", "unknown",
-					     "problem",
-					     "the log does not answer; look at "
-					     "the configuration later"));
+			reply_json(
+				http, 504,
+				json_pack(
+					"{s:s,s:s}", "outcome", "unknown",
+					"problem",
+					"the log did not answer in time; check "
+					"the configuration later"));
 		}
 	}
 }
@@ -384,7 +384,8 @@
 
 	if (n->publishes->len >= MAX_PUBLISHES) {
 		json_decref(record);
-		reply_problem(r, 503, "too many changes at once");
+		reply_problem(r, 503,
+			      "too many configuration changes in progress");
 		return;
 	}
 	p = g_new0(struct publish, 1);
@@ -419,7 +420,8 @@
 	cfg = g_new0(struct configuration, 1);
 	json_check_init(&c, "document");
 	if (!json_is_integer(base))
-		json_check_fail(&c, "$.base", "must be a version");
+		json_check_fail(&c, "$.base",
+				"must be a configuration version");
 	if (configuration_read(cfg, doc, &c))
 		reply_problem(r, 400, c.errors->str);
 	else
@@ -509,7 +511,7 @@
 	struct publish *p = r->user;
 
 	(void)user;
-	/* The operator went away; the record may still take effect. */
+	/* The operator disconnected; the record may still take effect. */
 	if (p)
 		p->http = NULL;
 }
@@ -519,7 +521,6 @@
 	.on_closed = on_closed,
 };
 
-/* Listen for operators and the backend server. Results as httpd_init(). */
 int operator_init(struct node *n)
 {
 	return httpd_init(&n->operator_httpd, n->loop,
@@ -527,7 +528,6 @@
 			  &operator_ops, n);
 }
 
-/* Stop listening. */
 void operator_finish(struct node *n)
 {
 	while (n->publishes->len) {
--- a/node/streams.c
+++ b/node/streams.c
@@ -9,23 +9,40 @@
 #include "util/result.h"
 
 /*
- * The streams that a node reads: the fleet's own, whose records make its state,
- * and the operators', where they publish in one of their own.
+ * The streams that a node reads: the fleet's, whose records make up the state
+ * of the fleet, and the operators', if they publish in a separate stream.
  */
 
-/* A read tells of news within some milliseconds of others hearing of it. */
+/*
+ * A read in flight returns new records within some milliseconds of the reads of
+ * other nodes. A read that has not returned them after this time has stalled
+ * and is replaced.
+ */
 #define STALLED_READ_MS 200
-/* One of four is heard of within a second on the mean; more cost more calls. */
+/*
+ * Of four nodes with short waits, one ends a read within a second on average;
+ * more such nodes would make more calls to the store.
+ */
 #define N_SHORT_WAIT_READERS 4
 #define LOG_SHORT_WAIT_MS 3000
-/* Who brings news to the others notices the store's return that soon. */
+/*
+ * Nodes that read for others retry at least this often, to notice soon that the
+ * store is available again.
+ */
 #define READER_RETRY_MAX_MS 500
-/* News seldom comes alone: what follows it is fetched with one read. */
+/*
+ * How long to wait after a read that returned records. Records seldom come
+ * singly, and after this wait one read returns all that followed.
+ */
 #define BATCH_DELAY_MS 100
 #define OPERATOR_BATCH_DELAY_MS 1000
-/* One of the others may come back to the stream late; it reads it whole then. */
+/*
+ * How often a node that need not follow the operators' stream reads it. If it
+ * has to follow the stream again after a long time, it may have to read all of
+ * it.
+ */
 #define OPERATOR_IDLE_INTERVAL_MS (10 * 60 * 1000)
-/* Ranks change with the members, and are worked out anew that often. */
+/* How often waits are updated, as a node's rank changes with the members. */
 #define WAIT_UPDATE_INTERVAL_MS 1000
 
 static void apply_record(struct node *n, int64_t offset, const char *id,
@@ -36,8 +53,8 @@
 }
 
 /*
- * Begin with the newest snapshot after what we have that can be loaded, so that
- * no more is replayed than need be.
+ * Loads the newest usable snapshot that is newer than the state here, so that
+ * as few records as possible are replayed. Returns its offset, or -1 for none.
  */
 static int64_t load_snapshot(struct node *n)
 {
@@ -55,7 +72,7 @@
 			       (gint64)n->member.fleet.applied);
 			return n->member.fleet.applied;
 		}
-		g_warning("snapshot in the log not usable: %s",
+		g_warning("cannot load a snapshot from the log: %s",
 			  result_name(err));
 	}
 	return -1;
@@ -111,8 +128,11 @@
 	struct node *n = user;
 
 	if (n->log.trimmed) {
-		/* All there is was read, and without a snapshot it is enough
-		 * only if it begins where we stand. */
+		/*
+		 * The whole log was read. Without a snapshot, that is enough
+		 * only if no record is missing between the state here and the
+		 * beginning of the log.
+		 */
 		int64_t end = n->log.scan_from;
 
 		replay_scanned(n);
@@ -144,7 +164,7 @@
 		operator_appended(n, append_user, result);
 	else if (kind < N_APPEND_KINDS)
 		member_append_done(&n->member, kind, result, clock_now_ms());
-	/* Only our own record tells us what we are a member as. */
+	/* A node learns its member id by reading its own join record. */
 	if (kind == APPEND_JOIN && !result)
 		log_client_read_now(&n->log);
 }
@@ -170,8 +190,11 @@
 
 	(void)sent_ms;
 	if (n->operator_stream.trimmed) {
-		/* Of what was removed meanwhile, the newest records tell
-		 * nothing but that it is not among them. */
+		/*
+		 * A record that was removed meanwhile shows only by its absence
+		 * from the newest records, so its removal gets the last offset
+		 * that was scanned.
+		 */
 		if (published_replace(&n->operator_records,
 				      &n->rescanned_operator_records))
 			n->rescanned_offset = n->operator_stream.scan_from - 1;
@@ -231,10 +254,11 @@
 };
 
 /*
- * How long a read may wait for news. When the store comes back from being away,
- * reads that waited there may all be silent, and nobody hears of any news until
- * one of them ends. So a few nodes, whichever are first by rank, wait for less;
- * the others learn from their peers that they missed something.
+ * Whether this node's reads wait a shorter time for new records. When the store
+ * comes back after an outage, the reads that were waiting there may all stay
+ * without an answer, and no node gets new records until one of these reads
+ * times out. So a few nodes, the first by rank, use a short wait; the others
+ * learn from their peers that they have missed records.
  */
 static bool uses_short_wait(const struct node *n)
 {
@@ -258,7 +282,6 @@
 		log_client_rest(&n->operator_stream);
 }
 
-/* Adjust the waits, and begin reads anew that others know to have missed news. */
 void streams_tick(struct node *n, int64_t now)
 {
 	struct member_node *m = &n->member;
@@ -289,7 +312,10 @@
 					       : RETRY_MAX_MS;
 	if (n->log.pause_ms)
 		n->operator_stream.gather_ms = OPERATOR_BATCH_DELAY_MS;
-	/* What operators changed is in force elsewhere by now, or nobody reads.
+	/*
+	 * Operators published a change that is not in force here. By now it is
+	 * in force on other nodes and this node's read has stalled, or the
+	 * reads of all nodes have stalled.
 	 */
 	if (m->published_source > m->fleet.source_offset &&
 	    now - m->published_since_ms > STALLED_READ_MS &&
@@ -307,7 +333,6 @@
 		log_client_renew(&n->operator_stream);
 }
 
-/* Begin to read. */
 void streams_init(struct node *n)
 {
 	const char *address = n->settings.log;
@@ -335,7 +360,6 @@
 	n->operator_stream.wait_ms = LOG_WAIT_MAX_MS;
 }
 
-/* Stop reading, and drop appends under way. */
 void streams_finish(struct node *n)
 {
 	log_client_finish(&n->log);
