--- a/net/log-client.c
+++ b/net/log-client.c
@@ -203,7 +203,7 @@
 	if (c->reading)
 		fetch_cancel(&c->read_fetch);
 	c->reading = false;
-	schedule_read(c, c->pause_ms);
+	schedule_read(c, c->idle_interval_ms);
 }
 
 static void end_append(struct log_append *a, int result)
@@ -328,7 +328,8 @@
 	if (c->scanning || has_append_in_doubt(c))
 		schedule_read(c, 0);
 	else
-		schedule_read(c, MAX(c->pause_ms, has_news ? c->gather_ms : 0));
+		schedule_read(c, MAX(c->idle_interval_ms,
+				     has_news ? c->batch_delay_ms : 0));
 }
 
 void log_client_append_done(struct log_append *a, int result, bool sent)
--- a/net/log-client.h
+++ b/net/log-client.h
@@ -92,8 +92,10 @@
 	int64_t read_from;
 	int64_t read_sent_at_ms;
 	int64_t wait_ms; /* how long the log may delay an empty answer */
-	int64_t pause_ms; /* from a read that reached the end to the next */
-	int64_t gather_ms; /* the same if it had records, to batch later ones */
+	int64_t idle_interval_ms; /* from a read that reached the end to the
+				     next */
+	int64_t batch_delay_ms; /* the same if it had records, to batch later
+				   ones */
 	int64_t answer_timeout_ms; /* for the answer, beyond wait_ms */
 	bool reading;
 	bool read_restarted; /* the read replaces one without an answer */
@@ -153,8 +155,8 @@
 
 /*
  * Cancel the current read, which only waits for new records, and schedule the
- * next one after pause_ms. No effect while scanning or while an append is in
- * doubt.
+ * next one after idle_interval_ms. No effect while scanning or while an append
+ * is in doubt.
  */
 void log_client_pause(struct log_client *c);
 
--- a/node/backend.c
+++ b/node/backend.c
@@ -10,16 +10,19 @@
 #include "util/result.h"
 
 #define MAX_BODY_BYTES (256 * 1024)
-/* The platform takes answers of at most 4 KiB. */
+/* The platform accepts answers of at most 4 KiB. */
 #define MAX_ANSWER_BYTES 4000
-/* Connections beside those in use: one closing while its successor opens. */
+/*
+ * Connections beyond one for each slot: a connection may still be closing while
+ * its replacement opens.
+ */
 #define SPARE_CONNECTIONS 4
 /*
- * Keys that no heartbeat renewed have run out at the server after their lease.
- * Then it serves none of them, and another server should.
+ * Grants that no heartbeat renews end at the backend server after a lease at
+ * most. It then serves none of the shards, and another one should get them.
  */
-#define SILENT_LEASES 1
-#define SILENT_MARGIN_MS 500
+#define HEARTBEAT_TIMEOUT_LEASES 1
+#define HEARTBEAT_TIMEOUT_MARGIN_MS 500
 
 static void reply_json(struct httpd_request *r, uint32_t status,
 		       const char *text)
@@ -31,7 +34,7 @@
 	g_ptr_array_unref(headers);
 }
 
-static void announced(struct node *n, const struct announcement *a)
+static void announce_instance(struct node *n, const struct announcement *a)
 {
 	struct backend_server b = {
 		.slots = a->slots, .connections = a->slots + SPARE_CONNECTIONS
@@ -46,86 +49,95 @@
 	node_backend_announced(n);
 }
 
-static void leaves(struct node *n, const char *why)
+static void on_backend_leaving(struct node *n, const char *why)
 {
 	if (n->backend_left)
 		return;
 	EVENT(server_leaves, NULL, "\"server\":\"%s\",\"why\":\"%s\"",
-	      event_text(n->life.id), event_text(why));
-	g_info("backend server %s: %s", n->life.id, why);
+	      event_text(n->server_instance.id), event_text(why));
+	g_info("backend server %s: %s", n->server_instance.id, why);
 	n->backend_left = true;
 	gate_backend_left(&n->gate);
 	node_backend_left(n);
 }
 
-static void follow_state(struct node *n, const struct announcement *a,
-			 enum instance_check news)
+static void update_state(struct node *n, const struct announcement *a,
+			 enum instance_check check)
 {
-	if (news == INSTANCE_NEW) {
+	if (check == INSTANCE_NEW) {
 		grants_new_instance(&n->gate.grants);
-		/* What was granted to the life before ended with it. */
+		/* The grants of the previous instance ended with it. */
 		if (n->member.self_id)
 			node_backend_left(n);
-		announced(n, a);
+		announce_instance(n, a);
 	} else if (!a->draining && n->backend_left) {
-		announced(n, a);
+		announce_instance(n, a);
 	}
 	if (a->draining)
-		leaves(n, "is leaving");
+		on_backend_leaving(n, "is leaving");
 	cold_start_set_remaining(&n->gate.admission.cold_start, a->cold_left_ms,
 				 clock_now_ms());
 }
 
-/* The answer to a heartbeat; n_named of its rows had room. */
-static char *write_answer(struct node *n, const struct grant_owner *o,
-			  bool with_handovers, GArray **rows, int64_t *hold_ms,
-			  uint32_t *n_named)
+/*
+ * Returns the answer to a heartbeat, newly allocated. Sets *rows to the rows to
+ * grant (or NULL), *hold_ms to how long they are granted for, and *n_included
+ * to how many of the rows fit into the answer.
+ */
+static char *encode_answer(struct node *n, const struct grant_owner *o,
+			   bool with_handovers, GArray **rows, int64_t *hold_ms,
+			   uint32_t *n_included)
 {
-	uint32_t n_left_out;
+	uint32_t n_omitted;
 	char *text;
 
 	*rows = grant_heartbeat_rows(&n->gate.grants, o, with_handovers,
 				     n->settings.hold_max_ms, clock_now_ms(),
 				     hold_ms);
-	text = announce_answer(*rows, *hold_ms, MAX_ANSWER_BYTES, &n_left_out);
-	*n_named = *rows ? (*rows)->len - n_left_out : 0;
+	text = announce_answer(*rows, *hold_ms, MAX_ANSWER_BYTES, &n_omitted);
+	*n_included = *rows ? (*rows)->len - n_omitted : 0;
 	return text;
 }
 
-static char *answer(struct node *n, int64_t number)
+static char *answer_heartbeat(struct node *n, int64_t number)
 {
 	struct grant_owner owner;
 	int64_t hold_ms;
 	GArray *rows;
-	uint32_t n_named;
+	uint32_t n_included;
 	char *text;
 
 	grant_owner_from(&owner, &n->member);
-	text = write_answer(n, &owner, true, &rows, &hold_ms, &n_named);
+	text = encode_answer(n, &owner, true, &rows, &hold_ms, &n_included);
 	if (!rows)
 		return text;
-	/* Cold keys are better than keys let go because a row had no room. */
-	if (n_named < rows->len) {
+	/*
+	 * If not all rows fit, send them without handovers: a key without its
+	 * handover starts cold, but the backend server releases a key that is
+	 * in no row.
+	 */
+	if (n_included < rows->len) {
 		g_free(text);
 		g_array_unref(rows);
-		text = write_answer(n, &owner, false, &rows, &hold_ms,
-				    &n_named);
+		text = encode_answer(n, &owner, false, &rows, &hold_ms,
+				     &n_included);
 	}
-	if (n_named < rows->len)
-		g_warning("%u of %u rows left out of an answer too long",
-			  rows->len - n_named, rows->len);
+	if (n_included < rows->len)
+		g_warning("heartbeat answer too long: %u of %u rows left out",
+			  rows->len - n_included, rows->len);
 	MEASURE(grant_ms, hold_ms);
-	grant_heartbeat_answered(&n->gate.grants, rows, n_named, number,
+	grant_heartbeat_answered(&n->gate.grants, rows, n_included, number,
 				 hold_ms, clock_now_ms());
 	g_array_unref(rows);
 	return text;
 }
 
-static void on_beat(struct node *n, struct httpd_request *r, const char *id)
+static void on_heartbeat(struct node *n, struct httpd_request *r,
+			 const char *id)
 {
 	GString *why = g_string_new(NULL);
 	struct announcement a;
-	enum instance_check news;
+	enum instance_check check;
 	g_autofree char *text = NULL;
 	int err = announce_read(&a, id, r->body->data, r->body->len, why);
 
@@ -135,26 +147,26 @@
 	if (why->len) {
 		EVENT(server_refused, NULL, "\"server\":\"%s\",\"why\":\"%s\"",
 		      event_text(id), event_text(why->str));
-		g_info("heartbeat of %s not taken: %s", id, why->str);
+		g_info("heartbeat of %s refused: %s", id, why->str);
 		reply_json(r, 400, "{}");
 		goto out;
 	}
-	news = instance_on_heartbeat(&n->life, a.id, a.born_ms, a.number,
-				     clock_now_ms());
-	if (news == INSTANCE_STALE) {
+	check = instance_on_heartbeat(&n->server_instance, a.id, a.born_ms,
+				      a.number, clock_now_ms());
+	if (check == INSTANCE_STALE) {
 		reply_json(r, 200, "{}");
 		goto out;
 	}
-	follow_state(n, &a, news);
+	update_state(n, &a, check);
 	gate_apply_configuration(&n->gate);
 	if (n->gate.grants.ops == &grant_by_call) {
 		reply_json(r, 200, "{}");
-		granter_on_beat(&n->granter);
+		granter_on_heartbeat(&n->granter);
 		goto out;
 	}
 	grant_heartbeat_received(&n->gate.grants, a.number, a.holds, a.released,
 				 n->settings.hold_max_ms, clock_now_ms());
-	text = answer(n, a.number);
+	text = answer_heartbeat(n, a.number);
 	reply_json(r, 200, text);
 out:
 	announce_finish(&a);
@@ -171,11 +183,11 @@
 		httpd_reply_text(r, node_is_ready(n) ? 200 : 503, "");
 		break;
 	case ANNOUNCE_HEARTBEAT:
-		on_beat(n, r, id);
+		on_heartbeat(n, r, id);
 		break;
 	case ANNOUNCE_LEAVE:
-		if (!strcmp(id, n->life.id))
-			leaves(n, "has left");
+		if (!strcmp(id, n->server_instance.id))
+			on_backend_leaving(n, "has left");
 		reply_json(r, 200, "{}");
 		break;
 	default:
@@ -219,10 +231,13 @@
 
 void backend_tick(struct node *n)
 {
-	int64_t silent_ms = clock_now_ms() - n->life.last_heartbeat_at_ms;
+	int64_t silent_ms =
+		clock_now_ms() - n->server_instance.last_heartbeat_at_ms;
 
-	if (!n->life.id[0] || n->backend_left || !n->gate.grants.n_shards)
+	if (!n->server_instance.id[0] || n->backend_left ||
+	    !n->gate.grants.n_shards)
 		return;
-	if (silent_ms > SILENT_LEASES * n->settings.lease_ms + SILENT_MARGIN_MS)
-		leaves(n, "sent no heartbeat for a whole lease");
+	if (silent_ms > HEARTBEAT_TIMEOUT_LEASES * n->settings.lease_ms +
+				HEARTBEAT_TIMEOUT_MARGIN_MS)
+		on_backend_leaving(n, "sent no heartbeat for a whole lease");
 }
--- a/node/gate-link-wait.c
+++ b/node/gate-link-wait.c
@@ -50,7 +50,7 @@
 
 void gate_link_wait_tick(struct gate *g, int64_t now_ms)
 {
-	bool takes_work = node_takes_work(g->node);
+	bool takes_work = node_accepts_unsharded(g->node);
 	uint32_t i;
 
 	for (i = g->link_waiters->len; i-- > 0;) {
--- a/node/reload.c
+++ b/node/reload.c
@@ -5,15 +5,16 @@
 #include "util/event.h"
 
 /*
- * Reading the settings again, on SIGHUP or when the file has changed. Only what
- * can change under way is taken over; addresses stay as they are, so nothing in
- * progress is cut.
+ * Reloads the settings on SIGHUP, or when their file has changed. Applies only
+ * the settings that can change while the process runs; addresses stay as they
+ * are, so that no request in progress is cut off.
  */
 
-/* The file may change without a signal; this is how soon that is noticed. */
-#define LOOK_EVERY_MS 2000
+/* How often to check whether the file has changed without a SIGHUP. */
+#define CHECK_INTERVAL_MS 2000
 
-static int64_t changed_at(const struct node *n)
+/* When the settings file was last modified; 0 if that cannot be read. */
+static int64_t read_mtime_ns(const struct node *n)
 {
 	struct stat st;
 
@@ -22,7 +23,7 @@
 	return (int64_t)st.st_mtim.tv_sec * 1000000000 + st.st_mtim.tv_nsec;
 }
 
-static void take_over(struct settings *s, const struct settings *new)
+static void apply_reloadable(struct settings *s, const struct settings *new)
 {
 	memcpy(s->seeds, new->seeds, sizeof(s->seeds));
 	s->n_seeds = new->n_seeds;
@@ -35,19 +36,18 @@
 	s->kept_idle_s = new->kept_idle_s;
 }
 
-/* Read the settings again; a file with problems changes nothing. */
 void node_reload(struct node *n)
 {
 	struct settings *new = g_new0(struct settings, 1);
 	GString *errors = g_string_new(NULL);
 
-	n->settings_changed_ns = changed_at(n);
+	n->settings_mtime_ns = read_mtime_ns(n);
 	if (settings_read(new, n->settings.path, errors)) {
-		g_warning("settings not read again: %s", errors->str);
+		g_warning("settings not reloaded: %s", errors->str);
 	} else {
-		take_over(&n->settings, new);
+		apply_reloadable(&n->settings, new);
 		EVENT(reloaded, NULL, "\"seeds\":%u", n->settings.n_seeds);
-		g_info("settings read again, %u seeds", n->settings.n_seeds);
+		g_info("settings reloaded, %u seeds", n->settings.n_seeds);
 	}
 	g_string_free(errors, TRUE);
 	g_free(new);
@@ -55,11 +55,11 @@
 
 void reload_tick(struct node *n, int64_t now_ms)
 {
-	if (now_ms < n->next_look_ms)
+	if (now_ms < n->next_settings_check_at_ms)
 		return;
-	n->next_look_ms = now_ms + LOOK_EVERY_MS;
-	if (!n->settings_changed_ns)
-		n->settings_changed_ns = changed_at(n);
-	else if (changed_at(n) != n->settings_changed_ns)
+	n->next_settings_check_at_ms = now_ms + CHECK_INTERVAL_MS;
+	if (!n->settings_mtime_ns)
+		n->settings_mtime_ns = read_mtime_ns(n);
+	else if (read_mtime_ns(n) != n->settings_mtime_ns)
 		node_reload(n);
 }
--- a/node/streams.c
+++ b/node/streams.c
@@ -9,35 +9,52 @@
 #include "util/result.h"
 
 /*
- * The streams that a node reads: the fleet's own, whose records make its state,
- * and the operators', where they publish in one of their own.
+ * The streams that a node reads: the fleet's, whose records make up the state
+ * of the fleet, and the operators', if they publish in a separate stream.
  */
 
-/* A read tells of news within some milliseconds of others hearing of it. */
-#define DEAF_MS 200
-/* One of four is heard of within a second on the mean; more cost more calls. */
-#define N_LOOKOUTS 4
-#define LOG_WAIT_LOOKOUT_MS 3000
-/* Who brings news to the others notices the store's return that soon. */
-#define READER_RETRY_MS 500
-/* News seldom comes alone: what follows it is fetched with one read. */
-#define GATHER_MS 100
-#define GATHER_OPERATORS_MS 1000
-/* One of the others may come back to the stream late; it reads it whole then. */
-#define OPERATORS_PAUSE_MS (10 * 60 * 1000)
-/* Ranks change with the members, and are worked out anew that often. */
-#define WAIT_EVERY_MS 1000
-
-static void apply(struct node *n, int64_t offset, const char *id,
-		  const json_t *record)
+/*
+ * A read in flight returns new records within some milliseconds of the reads of
+ * other nodes. A read that has not returned them after this time has stalled
+ * and is replaced.
+ */
+#define STALLED_READ_MS 200
+/*
+ * Of four nodes with short waits, one ends a read within a second on average;
+ * more such nodes would make more calls to the store.
+ */
+#define N_SHORT_WAIT_READERS 4
+#define LOG_SHORT_WAIT_MS 3000
+/*
+ * Nodes that read for others retry at least this often, to notice soon that the
+ * store is available again.
+ */
+#define READER_RETRY_MAX_MS 500
+/*
+ * How long to wait after a read that returned records. Records seldom come
+ * singly, and after this wait one read returns all that followed.
+ */
+#define BATCH_DELAY_MS 100
+#define OPERATOR_BATCH_DELAY_MS 1000
+/*
+ * How often a node that need not follow the operators' stream reads it. If it
+ * has to follow the stream again after a long time, it may have to read all of
+ * it.
+ */
+#define OPERATOR_IDLE_INTERVAL_MS (10 * 60 * 1000)
+/* How often waits are updated, as a node's rank changes with the members. */
+#define WAIT_UPDATE_INTERVAL_MS 1000
+
+static void apply_record(struct node *n, int64_t offset, const char *id,
+			 const json_t *record)
 {
 	member_on_record(&n->member, offset, id, record, clock_now_ms());
 	audit_flush(&n->audit);
 }
 
 /*
- * Begin with the newest snapshot after what we have that can be loaded, so that
- * no more is replayed than need be.
+ * Loads the newest usable snapshot that is newer than the state here, so that
+ * as few records as possible are replayed. Returns its offset, or -1 for none.
  */
 static int64_t load_snapshot(struct node *n)
 {
@@ -55,7 +72,7 @@
 			       (gint64)n->member.fleet.applied);
 			return n->member.fleet.applied;
 		}
-		g_warning("snapshot in the log not usable: %s",
+		g_warning("cannot load a snapshot from the log: %s",
 			  result_name(err));
 	}
 	return -1;
@@ -75,7 +92,7 @@
 		const struct scanned_record *r = g_ptr_array_index(records, i);
 
 		if (r->offset > n->member.fleet.applied)
-			apply(n, r->offset, r->id, r->record);
+			apply_record(n, r->offset, r->id, r->record);
 	}
 	EVENT(log_recovered, NULL,
 	      "\"records\":%u,\"first\":%" PRId64 ",\"end\":%" PRId64
@@ -98,10 +115,10 @@
 		return;
 	}
 	if (offset > n->member.fleet.applied) {
-		if (!n->pass_on)
-			n->pass_from = offset;
-		n->pass_on = true;
-		apply(n, offset, id, record);
+		if (!n->relay_pending)
+			n->relay_from = offset;
+		n->relay_pending = true;
+		apply_record(n, offset, id, record);
 	}
 	n->log.next = n->member.fleet.applied + 1;
 }
@@ -111,8 +128,11 @@
 	struct node *n = user;
 
 	if (n->log.scanning) {
-		/* All there is was read, and without a snapshot it is enough
-		 * only if it begins where we stand. */
+		/*
+		 * The whole log was read. Without a snapshot, that is enough
+		 * only if no record is missing between the state here and the
+		 * beginning of the log.
+		 */
 		int64_t end = n->log.scan_from;
 
 		replay_scanned(n);
@@ -120,9 +140,9 @@
 			return;
 	}
 	member_on_log_tail(&n->member, sent_ms, clock_now_ms());
-	if (n->pass_on)
-		member_relay_records(&n->member, n->pass_from);
-	n->pass_on = false;
+	if (n->relay_pending)
+		member_relay_records(&n->member, n->relay_from);
+	n->relay_pending = false;
 }
 
 static void on_trimmed(void *user, int64_t first)
@@ -144,7 +164,7 @@
 		operator_appended(n, append_user, result);
 	else if (kind < N_APPEND_KINDS)
 		member_append_done(&n->member, kind, result, clock_now_ms());
-	/* Only our own record tells us what we are a member as. */
+	/* A node learns its member id by reading its own join record. */
 	if (kind == APPEND_JOIN && !result)
 		log_client_read_now(&n->log);
 }
@@ -154,14 +174,14 @@
 {
 	struct node *n = user;
 
-	n->operators.next = offset + 1;
-	if (n->operators.scanning) {
-		if (published_take(&n->published_newest, id, record))
-			n->newest_until = offset;
+	n->operator_stream.next = offset + 1;
+	if (n->operator_stream.scanning) {
+		if (published_take(&n->rescanned_operator_records, id, record))
+			n->rescanned_offset = offset;
 		return;
 	}
-	if (published_take(&n->published, id, record))
-		n->published_until = offset;
+	if (published_take(&n->operator_records, id, record))
+		n->published_offset = offset;
 }
 
 static void on_published_tail(void *user, int64_t sent_ms)
@@ -169,21 +189,28 @@
 	struct node *n = user;
 
 	(void)sent_ms;
-	if (n->operators.scanning) {
-		/* Of what was removed meanwhile, the newest records tell
-		 * nothing but that it is not among them. */
-		if (published_replace(&n->published, &n->published_newest))
-			n->newest_until = n->operators.scan_from - 1;
-		n->published_until = MAX(n->published_until, n->newest_until);
-		log_client_seek(&n->operators, n->operators.scan_from);
+	if (n->operator_stream.scanning) {
+		/*
+		 * A record that was removed meanwhile shows only by its absence
+		 * from the newest records, so its removal gets the last offset
+		 * that was scanned.
+		 */
+		if (published_replace(&n->operator_records,
+				      &n->rescanned_operator_records))
+			n->rescanned_offset = n->operator_stream.scan_from - 1;
+		n->published_offset =
+			MAX(n->published_offset, n->rescanned_offset);
+		log_client_seek(&n->operator_stream,
+				n->operator_stream.scan_from);
 	}
-	if (n->published_until > n->member.published_source &&
-	    n->published.config) {
-		member_set_published(&n->member, n->published_until,
-				     published_bytes(&n->published),
+	if (n->published_offset > n->member.published_source &&
+	    n->operator_records.config) {
+		member_set_published(&n->member, n->published_offset,
+				     published_bytes(&n->operator_records),
 				     clock_now_ms());
 		EVENT(published, NULL, "\"source\":%" PRId64 ",\"bytes\":%u",
-		      n->published_until, published_bytes(&n->published));
+		      n->published_offset,
+		      published_bytes(&n->operator_records));
 	}
 	member_operator_stream_read(&n->member, clock_now_ms());
 }
@@ -192,16 +219,16 @@
 {
 	struct node *n = user;
 
-	published_clear(&n->published_newest);
-	log_client_scan(&n->operators, first);
+	published_clear(&n->rescanned_operator_records);
+	log_client_scan(&n->operator_stream, first);
 }
 
 static void on_fleet_regained(void *user)
 {
 	struct node *n = user;
 
-	if (n->operators.ops && n->reads_operators)
-		log_client_on_other_stream_up(&n->operators);
+	if (n->operator_stream.ops && n->reads_operator_stream)
+		log_client_on_other_stream_up(&n->operator_stream);
 }
 
 static void on_operators_regained(void *user)
@@ -227,90 +254,97 @@
 };
 
 /*
- * How long a read may wait for news. When the store comes back from being away,
- * reads that waited there may all be silent, and nobody hears of any news until
- * one of them ends. So a few nodes, whichever are first by rank, wait for less;
- * the others learn from their peers that they missed something.
+ * Whether this node's reads wait a shorter time for new records. When the store
+ * comes back after an outage, the reads that were waiting there may all stay
+ * without an answer, and no node gets new records until one of these reads
+ * times out. So a few nodes, the first by rank, use a short wait; the others
+ * learn from their peers that they have missed records.
  */
-static bool is_lookout(const struct node *n)
+static bool uses_short_wait(const struct node *n)
 {
 	const struct member_node *m = &n->member;
 
-	return m->self_id &&
-	       assign_rank(&m->fleet, "publish", m->self_id) < N_LOOKOUTS;
+	return m->self_id && assign_rank(&m->fleet, "publish", m->self_id) <
+				     N_SHORT_WAIT_READERS;
 }
 
-static void follow_operators(struct node *n)
+static void update_operator_reads(struct node *n)
 {
 	bool reads = member_reads_operator_stream(&n->member);
 
-	if (!n->operators.ops || reads == n->reads_operators)
+	if (!n->operator_stream.ops || reads == n->reads_operator_stream)
 		return;
-	n->reads_operators = reads;
-	n->operators.pause_ms = reads ? 0 : OPERATORS_PAUSE_MS;
+	n->reads_operator_stream = reads;
+	n->operator_stream.idle_interval_ms = reads ? 0
+						    : OPERATOR_IDLE_INTERVAL_MS;
 	if (reads)
-		log_client_read_now(&n->operators);
+		log_client_read_now(&n->operator_stream);
 	else
-		log_client_pause(&n->operators);
+		log_client_pause(&n->operator_stream);
 }
 
-/* Adjust the waits, and begin reads anew that others know to have missed news. */
 void streams_tick(struct node *n, int64_t now)
 {
 	struct member_node *m = &n->member;
 	struct read_plan plan;
 
 	if (m->log_read_due ||
-	    (m->behind_since_ms && now - m->behind_since_ms > DEAF_MS))
+	    (m->behind_since_ms && now - m->behind_since_ms > STALLED_READ_MS))
 		log_client_restart_read(&n->log);
 	m->log_read_due = false;
-	if (now >= n->next_wait_ms) {
-		n->next_wait_ms = now + WAIT_EVERY_MS;
-		follow_operators(n);
-		n->operators.wait_ms = LOG_WAIT_LONG_MS;
-		n->operators.retry_max_ms = RETRY_MAX_MS;
-		if (is_lookout(n)) {
-			n->operators.wait_ms = LOG_WAIT_LOOKOUT_MS;
-			n->operators.retry_max_ms = READER_RETRY_MS;
+	if (now >= n->next_wait_update_at_ms) {
+		n->next_wait_update_at_ms = now + WAIT_UPDATE_INTERVAL_MS;
+		update_operator_reads(n);
+		n->operator_stream.wait_ms = LOG_WAIT_MAX_MS;
+		n->operator_stream.retry_max_ms = RETRY_MAX_MS;
+		if (uses_short_wait(n)) {
+			n->operator_stream.wait_ms = LOG_SHORT_WAIT_MS;
+			n->operator_stream.retry_max_ms = READER_RETRY_MAX_MS;
 		}
 	}
-	read_plan_make(m, n->operators.wait_ms, &plan);
+	read_plan_make(m, n->operator_stream.wait_ms, &plan);
 	n->log.wait_ms = plan.wait_ms;
-	n->log.gather_ms = plan.batch_delay_ms;
-	if (n->log.pause_ms > plan.idle_interval_ms && log_client_up(&n->log))
+	n->log.batch_delay_ms = plan.batch_delay_ms;
+	if (n->log.idle_interval_ms > plan.idle_interval_ms &&
+	    log_client_up(&n->log))
 		log_client_read_now(&n->log);
-	n->log.pause_ms = plan.idle_interval_ms;
-	n->operators.gather_ms = GATHER_MS;
-	n->log.retry_max_ms = m->is_log_reader ? READER_RETRY_MS : RETRY_MAX_MS;
-	if (n->log.pause_ms)
-		n->operators.gather_ms = GATHER_OPERATORS_MS;
-	/* What operators changed is in force elsewhere by now, or nobody reads.
+	n->log.idle_interval_ms = plan.idle_interval_ms;
+	n->operator_stream.batch_delay_ms = BATCH_DELAY_MS;
+	n->log.retry_max_ms = m->is_log_reader ? READER_RETRY_MAX_MS
+					       : RETRY_MAX_MS;
+	if (n->log.idle_interval_ms)
+		n->operator_stream.batch_delay_ms = OPERATOR_BATCH_DELAY_MS;
+	/*
+	 * Operators published a change that is not in force here. By now it is
+	 * in force on other nodes and this node's read has stalled, or the
+	 * reads of all nodes have stalled.
 	 */
 	if (m->published_source > m->fleet.source_offset &&
-	    now - m->published_wait_since_ms > DEAF_MS &&
-	    now - n->log.read_sent_at_ms > DEAF_MS)
+	    now - m->published_wait_since_ms > STALLED_READ_MS &&
+	    now - n->log.read_sent_at_ms > STALLED_READ_MS)
 		log_client_restart_read(&n->log);
-	if (!n->operators.ops)
+	if (!n->operator_stream.ops)
 		return;
-	if (m->fleet.source_offset < n->operators.next || !n->reads_operators)
-		n->source_ahead_ms = 0;
-	else if (!n->source_ahead_ms)
-		n->source_ahead_ms = now;
-	else if (now - n->source_ahead_ms > DEAF_MS + n->operators.gather_ms)
-		log_client_restart_read(&n->operators);
+	if (m->fleet.source_offset < n->operator_stream.next ||
+	    !n->reads_operator_stream)
+		n->source_ahead_since_ms = 0;
+	else if (!n->source_ahead_since_ms)
+		n->source_ahead_since_ms = now;
+	else if (now - n->source_ahead_since_ms >
+		 STALLED_READ_MS + n->operator_stream.batch_delay_ms)
+		log_client_restart_read(&n->operator_stream);
 }
 
-/* Begin to read. */
 void streams_init(struct node *n)
 {
 	const char *address = n->settings.log;
 
 	log_scan_init(&n->scan);
-	published_init(&n->published);
-	published_init(&n->published_newest);
-	n->published_until = -1;
-	n->newest_until = -1;
-	n->reads_operators = true;
+	published_init(&n->operator_records);
+	published_init(&n->rescanned_operator_records);
+	n->published_offset = -1;
+	n->rescanned_offset = -1;
+	n->reads_operator_stream = true;
 	if (n->settings.interface == INTERFACE_OWN) {
 		log_client_init(&n->log, n->loop, address, &log_http_ops,
 				&log_handlers, n);
@@ -319,22 +353,21 @@
 	log_client_init(&n->log, n->loop, address, &store_fleet_ops,
 			&log_handlers, n);
 	log_client_recover_first(&n->log);
-	log_client_init(&n->operators, n->loop, address, &store_operator_ops,
-			&operator_handlers, n);
-	log_client_recover_first(&n->operators);
+	log_client_init(&n->operator_stream, n->loop, address,
+			&store_operator_ops, &operator_handlers, n);
+	log_client_recover_first(&n->operator_stream);
 	member_expect_operator_stream(&n->member);
 	n->log.name = "fleet";
-	n->operators.name = "operators";
-	n->operators.wait_ms = LOG_WAIT_LONG_MS;
+	n->operator_stream.name = "operators";
+	n->operator_stream.wait_ms = LOG_WAIT_MAX_MS;
 }
 
-/* Stop reading, and drop appends under way. */
 void streams_finish(struct node *n)
 {
 	log_client_finish(&n->log);
-	if (n->operators.ops)
-		log_client_finish(&n->operators);
-	published_finish(&n->published);
-	published_finish(&n->published_newest);
+	if (n->operator_stream.ops)
+		log_client_finish(&n->operator_stream);
+	published_finish(&n->operator_records);
+	published_finish(&n->rescanned_operator_records);
 	log_scan_finish(&n->scan);
 }
--- a/t/test-log-client.c
+++ b/t/test-log-client.c
@@ -93,7 +93,7 @@
 	struct log_client c;
 
 	log_client_init(&c, loop, "127.0.0.1:1", &ops, &takers, &c);
-	c.gather_ms = 100;
+	c.batch_delay_ms = 100;
 	ev_run(loop, EVRUN_ONCE);
 	read_brings(&c, 1);
 	g_assert_cmpfloat(ev_timer_remaining(loop, &c.timer), >, 0.09);
--- a/t/test-net.c
+++ b/t/test-net.c
@@ -182,7 +182,7 @@
 
 	log_client_init(&c, loop, "127.0.0.1:1", &ops, &handlers, NULL);
 	c.wait_ms = 10000;
-	c.pause_ms = 10000;
+	c.idle_interval_ms = 10000;
 	ev_run(loop, EVRUN_ONCE);
 	g_assert_cmpuint(n_reads, ==, 1);
 	g_assert_cmpint(last_wait_ms, ==, 10000);
