--- a/gate/admission.h
+++ b/gate/admission.h
@@ -5,7 +5,7 @@
 #include <stdint.h>
 #include <glib.h>
 
-#include "gate/cold.h"
+#include "gate/cold-start.h"
 #include "gate/limit.h"
 #include "gate/link.h"
 #include "gate/queue.h"
--- a/gate/cold.c
+++ b/gate/cold-start.c
@@ -1,7 +1,7 @@
 #include <string.h>
 #include <glib.h>
 
-#include "gate/cold.h"
+#include "gate/cold-start.h"
 
 #define WINDOW_MS 1000
 /*
--- a/gate/cold.h
+++ b/gate/cold-start.h
@@ -1,5 +1,5 @@
-#ifndef GATE_COLD_H
-#define GATE_COLD_H
+#ifndef GATE_COLD_START_H
+#define GATE_COLD_START_H
 
 #include <stdbool.h>
 #include <stdint.h>
--- a/gate/grant-beat.c
+++ b/gate/grant-heartbeat.c
@@ -1,6 +1,6 @@
 #include <string.h>
 
-#include "gate/grant-beat.h"
+#include "gate/grant-heartbeat.h"
 
 /* A shorter grant would end before the next heartbeat can renew it. */
 #define MIN_HOLD_MS 300
--- a/gate/grant-beat.h
+++ b/gate/grant-heartbeat.h
@@ -1,5 +1,5 @@
-#ifndef GATE_GRANT_BEAT_H
-#define GATE_GRANT_BEAT_H
+#ifndef GATE_GRANT_HEARTBEAT_H
+#define GATE_GRANT_HEARTBEAT_H
 
 #include <glib.h>
 
--- a/gate/grants.h
+++ b/gate/grants.h
@@ -106,7 +106,7 @@
 			     int64_t fence, int64_t now_ms);
 };
 
-/* In the answers to heartbeats: gate/grant-beat.h. */
+/* In the answers to heartbeats: gate/grant-heartbeat.h. */
 extern const struct grant_ops grant_by_heartbeat;
 
 /* By calls to the backend server: gate/grant-call.h. */
--- a/gate/life.c
+++ b/gate/server-instance.c
@@ -1,7 +1,7 @@
 #include <string.h>
 #include <glib.h>
 
-#include "gate/life.h"
+#include "gate/server-instance.h"
 
 /*
  * If the wall clock was set back before the backend server restarted, the new
--- a/gate/life.h
+++ b/gate/server-instance.h
@@ -1,5 +1,5 @@
-#ifndef GATE_LIFE_H
-#define GATE_LIFE_H
+#ifndef GATE_SERVER_INSTANCE_H
+#define GATE_SERVER_INSTANCE_H
 
 #include <stdbool.h>
 #include <stdint.h>
--- a/node/backend.c
+++ b/node/backend.c
@@ -1,6 +1,6 @@
 #include <string.h>
 
-#include "gate/grant-beat.h"
+#include "gate/grant-heartbeat.h"
 #include "net/clock.h"
 #include "node/backend.h"
 #include "node/node.h"
--- a/node/node.h
+++ b/node/node.h
@@ -6,7 +6,7 @@
 
 #include "state/scan.h"
 #include "audit/audit.h"
-#include "gate/life.h"
+#include "gate/server-instance.h"
 #include "member/member.h"
 #include "node/entry.h"
 #include "node/gate.h"
--- a/t/sim-backend.c
+++ b/t/sim-backend.c
@@ -1,6 +1,6 @@
 #include <string.h>
 
-#include "gate/grant-beat.h"
+#include "gate/grant-heartbeat.h"
 #include "gate/grant-call.h"
 #include "t/sim.h"
 
--- a/t/test-gate.c
+++ b/t/test-gate.c
@@ -3,7 +3,7 @@
 
 #include "gate/delay.h"
 #include "gate/admission.h"
-#include "gate/cold.h"
+#include "gate/cold-start.h"
 #include "gate/ids.h"
 #include "gate/limit.h"
 #include "gate/link.h"
