--- a/builtin/audit.c
+++ b/builtin/audit.c
@@ -10,13 +10,13 @@
 
 #define FOLLOW_US 500000
 
-static int64_t print_from(const char *node, int64_t from)
+static int64_t print_changes_from(const char *node, int64_t from)
 {
 	g_autofree char *path = g_strdup_printf("/audit?from=%" PRId64, from);
 	struct client_answer a;
 	int64_t next;
 
-	if (client_ask(node, path, NULL, &a))
+	if (client_request(node, path, NULL, &a))
 		return -1;
 	fputs(a.body->str, stdout);
 	fflush(stdout);
@@ -35,10 +35,10 @@
 
 	if (status >= 0)
 		return status;
-	if (o.n_rest)
+	if (o.n_args)
 		return options_usage(usage);
 	do {
-		next = print_from(o.node, next);
+		next = print_changes_from(o.node, next);
 		if (o.follow)
 			g_usleep(FOLLOW_US);
 	} while (o.follow && next >= 0);
--- a/builtin/check.c
+++ b/builtin/check.c
@@ -32,7 +32,7 @@
 
 	if (status >= 0)
 		return status;
-	if (!o.settings == !o.configuration || o.n_rest)
+	if (!o.settings == !o.configuration || o.n_args)
 		return options_usage(usage);
 	errors = g_string_new(NULL);
 	err = check(&o, errors);
--- a/builtin/client.c
+++ b/builtin/client.c
@@ -25,30 +25,30 @@
 	return size * n;
 }
 
-int client_ask(const char *address, const char *path, const json_t *body,
-	       struct client_answer *out)
+int client_request(const char *address, const char *path, const json_t *body,
+		   struct client_answer *out)
 {
 	g_autofree char *url = g_strdup_printf("http://%s%s", address, path);
 	char *text = body ? json_dumps(body, JSON_COMPACT) : NULL;
 	char error[CURL_ERROR_SIZE] = "";
-	CURL *easy = curl_easy_init();
+	CURL *curl = curl_easy_init();
 	CURLcode code;
 
 	out->next = -1;
 	out->body = g_string_new(NULL);
-	curl_easy_setopt(easy, CURLOPT_URL, url);
-	curl_easy_setopt(easy, CURLOPT_PROXY, "");
-	curl_easy_setopt(easy, CURLOPT_ERRORBUFFER, error);
-	curl_easy_setopt(easy, CURLOPT_TIMEOUT_MS, TIMEOUT_MS);
-	curl_easy_setopt(easy, CURLOPT_WRITEFUNCTION, on_body);
-	curl_easy_setopt(easy, CURLOPT_WRITEDATA, out->body);
-	curl_easy_setopt(easy, CURLOPT_HEADERFUNCTION, on_header);
-	curl_easy_setopt(easy, CURLOPT_HEADERDATA, out);
+	curl_easy_setopt(curl, CURLOPT_URL, url);
+	curl_easy_setopt(curl, CURLOPT_PROXY, "");
+	curl_easy_setopt(curl, CURLOPT_ERRORBUFFER, error);
+	curl_easy_setopt(curl, CURLOPT_TIMEOUT_MS, TIMEOUT_MS);
+	curl_easy_setopt(curl, CURLOPT_WRITEFUNCTION, on_body);
+	curl_easy_setopt(curl, CURLOPT_WRITEDATA, out->body);
+	curl_easy_setopt(curl, CURLOPT_HEADERFUNCTION, on_header);
+	curl_easy_setopt(curl, CURLOPT_HEADERDATA, out);
 	if (text)
-		curl_easy_setopt(easy, CURLOPT_POSTFIELDS, text);
-	code = curl_easy_perform(easy);
-	curl_easy_getinfo(easy, CURLINFO_RESPONSE_CODE, &out->status);
-	curl_easy_cleanup(easy);
+		curl_easy_setopt(curl, CURLOPT_POSTFIELDS, text);
+	code = curl_easy_perform(curl);
+	curl_easy_getinfo(curl, CURLINFO_RESPONSE_CODE, &out->status);
+	curl_easy_cleanup(curl);
 	free(text);
 	if (code == CURLE_OK)
 		return RESULT_OK;
@@ -70,7 +70,7 @@
 	json_t *o;
 	json_t *doc;
 
-	if (client_ask(address, "/configuration", NULL, &a))
+	if (client_request(address, "/configuration", NULL, &a))
 		return NULL;
 	o = json_loadb(a.body->str, a.body->len, 0, NULL);
 	client_answer_finish(&a);
@@ -119,7 +119,7 @@
 	struct client_answer a;
 	int status;
 
-	if (client_ask(address, "/configuration", body, &a)) {
+	if (client_request(address, "/configuration", body, &a)) {
 		json_decref(body);
 		return EXIT_FAILED;
 	}
--- a/builtin/client.h
+++ b/builtin/client.h
@@ -16,8 +16,8 @@
  * Ask the node at address; body NULL asks with GET. Returns RESULT_OK or
  * RESULT_UNREACHABLE after telling why on standard error.
  */
-int client_ask(const char *address, const char *path, const json_t *body,
-	       struct client_answer *out);
+int client_request(const char *address, const char *path, const json_t *body,
+		   struct client_answer *out);
 void client_answer_finish(struct client_answer *a);
 
 /* Fetch the configuration in force; NULL after telling why. */
--- a/builtin/data-centre.c
+++ b/builtin/data-centre.c
@@ -36,20 +36,20 @@
 
 	if (status >= 0)
 		return status;
-	if (o.n_rest != 2 ||
-	    (strcmp(o.rest[0], "out") && strcmp(o.rest[0], "in")))
+	if (o.n_args != 2 ||
+	    (strcmp(o.args[0], "out") && strcmp(o.args[0], "in")))
 		return options_usage(usage);
 	doc = client_configuration(o.node, &version);
 	if (!doc)
 		return EXIT_FAILED;
-	dc = find_named(json_object_get(doc, "data_centres"), o.rest[1]);
+	dc = find_named(json_object_get(doc, "data_centres"), o.args[1]);
 	if (!dc) {
-		fprintf(stderr, "briargrade: no data centre %s\n", o.rest[1]);
+		fprintf(stderr, "briargrade: no data centre %s\n", o.args[1]);
 		json_decref(doc);
 		return EXIT_USAGE;
 	}
 	json_object_set_new(dc, "in_service",
-			    json_boolean(!strcmp(o.rest[0], "in")));
+			    json_boolean(!strcmp(o.args[0], "in")));
 	status = client_publish(o.node, version, doc, o.reason);
 	json_decref(doc);
 	return status;
--- a/builtin/declare-lost.c
+++ b/builtin/declare-lost.c
@@ -20,10 +20,10 @@
 
 	if (status >= 0)
 		return status;
-	if (o.n_rest != 1)
+	if (o.n_args != 1)
 		return options_usage(usage);
-	body = json_pack("{s:s}", "host", o.rest[0]);
-	status = client_ask(o.node, "/declare-lost", body, &a);
+	body = json_pack("{s:s}", "host", o.args[0]);
+	status = client_request(o.node, "/declare-lost", body, &a);
 	json_decref(body);
 	if (status)
 		return EXIT_FAILED;
--- a/builtin/explain.c
+++ b/builtin/explain.c
@@ -18,11 +18,11 @@
 
 	if (status >= 0)
 		return status;
-	if (o.n_rest != 2)
+	if (o.n_args != 2)
 		return options_usage(usage);
-	key = g_uri_escape_string(o.rest[1], NULL, FALSE);
-	path = g_strdup_printf("/explain?service=%s&key=%s", o.rest[0], key);
-	if (client_ask(o.node, path, NULL, &a))
+	key = g_uri_escape_string(o.args[1], NULL, FALSE);
+	path = g_strdup_printf("/explain?service=%s&key=%s", o.args[0], key);
+	if (client_request(o.node, path, NULL, &a))
 		return EXIT_FAILED;
 	printf("%s\n", a.body->str);
 	status = a.status == 200 ? EXIT_OK : EXIT_FAILED;
--- a/builtin/model.c
+++ b/builtin/model.c
@@ -7,13 +7,13 @@
 
 static const char usage[] = "briargrade model [--json] FILE";
 
-static double cpu_s(void)
+static double cpu_time_s(void)
 {
 	return clock() / (double)CLOCKS_PER_SEC;
 }
 
-static void add_tally(struct model_class_result *to,
-		      const struct model_class_result *from)
+static void add_class_result(struct model_class_result *to,
+			     const struct model_class_result *from)
 {
 	to->asked += from->asked;
 	to->in_target += from->in_target;
@@ -24,7 +24,7 @@
 			    from->latencies_ms->len);
 }
 
-/* All seeds of one policy, added up. */
+/* All seeds of seed_result policy, added up. */
 static void run_policy(const struct experiment *e, const struct model_policy *p,
 		       struct model_result *sum)
 {
@@ -32,20 +32,21 @@
 
 	model_run(e, p, e->seeds[0], sum);
 	for (s = 1; s < e->n_seeds; s++) {
-		struct model_result one;
+		struct model_result seed_result;
 
-		model_run(e, p, e->seeds[s], &one);
+		model_run(e, p, e->seeds[s], &seed_result);
 		for (i = 0; i < e->n_classes; i++)
-			add_tally(&sum->classes[i], &one.classes[i]);
-		sum->work_ms += one.work_ms;
-		sum->wasted_ms += one.wasted_ms;
-		sum->offers += one.offers;
-		sum->events += one.events;
-		model_result_finish(&one);
+			add_class_result(&sum->classes[i],
+					 &seed_result.classes[i]);
+		sum->work_ms += seed_result.work_ms;
+		sum->wasted_ms += seed_result.wasted_ms;
+		sum->offers += seed_result.offers;
+		sum->events += seed_result.events;
+		model_result_finish(&seed_result);
 	}
 }
 
-static double share(uint64_t part, uint64_t whole)
+static double ratio(uint64_t part, uint64_t whole)
 {
 	return whole ? part / (double)whole : 0;
 }
@@ -55,9 +56,9 @@
 {
 	printf("%-16s %-20s %9" G_GUINT64_FORMAT
 	       "  %.3f  %.3f  %.3f  %.3f %8.1f %8.1f\n",
-	       policy, name, (guint64)t->asked, share(t->in_target, t->asked),
-	       share(t->late, t->asked), share(t->refused, t->asked),
-	       share(t->failed, t->asked), model_quantile(t, 0.5),
+	       policy, name, (guint64)t->asked, ratio(t->in_target, t->asked),
+	       ratio(t->late, t->asked), ratio(t->refused, t->asked),
+	       ratio(t->failed, t->asked), model_quantile(t, 0.5),
 	       model_quantile(t, 0.99));
 }
 
@@ -86,7 +87,7 @@
 	       "%.2f offers a request\n",
 	       p->name, model_earned(e, r), model_served(e, r),
 	       r->work_ms > 0 ? r->wasted_ms / r->work_ms : 0,
-	       share(r->offers, asked));
+	       ratio(r->offers, asked));
 	/* Apart from what a run repeats exactly. */
 	fprintf(stderr, "%s: %.0f requests a second of processor time\n",
 		p->name, asked / MAX(cpu, 1e-6));
@@ -108,7 +109,7 @@
 			 (json_int_t)r->offers);
 }
 
-static void run_all(const struct experiment *e, bool json)
+static void run_policies(const struct experiment *e, bool json)
 {
 	json_t *all = json_array();
 	uint32_t i;
@@ -119,14 +120,15 @@
 		       "p50_ms", "p99_ms");
 	for (i = 0; i < e->n_policies; i++) {
 		struct model_result r;
-		double before = cpu_s();
+		double before = cpu_time_s();
 
 		run_policy(e, &e->policies[i], &r);
 		if (json)
 			json_array_append_new(
 				all, policy_json(e, &e->policies[i], &r));
 		else
-			print_text(e, &e->policies[i], &r, cpu_s() - before);
+			print_text(e, &e->policies[i], &r,
+				   cpu_time_s() - before);
 		model_result_finish(&r);
 	}
 	if (json)
@@ -145,14 +147,14 @@
 
 	if (status >= 0)
 		return status;
-	if (o.n_rest != 1)
+	if (o.n_args != 1)
 		return options_usage(usage);
 	errors = g_string_new(NULL);
 	e = g_new0(struct experiment, 1);
-	err = experiment_read(e, o.rest[0], errors);
+	err = experiment_read(e, o.args[0], errors);
 	fputs(errors->str, stderr);
 	if (!err)
-		run_all(e, o.json);
+		run_policies(e, o.json);
 	g_free(e);
 	g_string_free(errors, TRUE);
 	return err ? EXIT_USAGE : EXIT_OK;
--- a/builtin/options.c
+++ b/builtin/options.c
@@ -50,7 +50,7 @@
 	return EXIT_USAGE;
 }
 
-static void take(struct options *o, int code)
+static void set_option(struct options *o, int code)
 {
 	switch (code) {
 	case OPT_NODE:
@@ -115,9 +115,9 @@
 		}
 		if (code == '?')
 			return options_usage(usage);
-		take(o, code);
+		set_option(o, code);
 	}
-	o->rest = argv + optind;
-	o->n_rest = argc - optind;
+	o->args = argv + optind;
+	o->n_args = argc - optind;
 	return -1;
 }
--- a/builtin/options.h
+++ b/builtin/options.h
@@ -18,8 +18,8 @@
 	double refused_share;
 	int64_t deadline_ms;
 	int repeatable; /* -1 not given */
-	char **rest; /* what is not an option */
-	int n_rest;
+	char **args; /* what is not an option */
+	int n_args;
 };
 
 #define OPTION_NODE (1 << 0)
--- a/builtin/publish.c
+++ b/builtin/publish.c
@@ -9,12 +9,12 @@
 	"briargrade publish [--node ADDRESS] [--base VERSION] "
 	"[--reason TEXT] FILE";
 
-static int64_t version_in_force(const char *node, int64_t *version)
+static int64_t fetch_version_in_force(const char *node, int64_t *version)
 {
 	struct client_answer a;
 	json_t *o;
 
-	if (client_ask(node, "/configuration", NULL, &a))
+	if (client_request(node, "/configuration", NULL, &a))
 		return -1;
 	o = json_loadb(a.body->str, a.body->len, 0, NULL);
 	*version = json_integer_value(json_object_get(o, "version"));
@@ -35,16 +35,16 @@
 
 	if (status >= 0)
 		return status;
-	if (o.n_rest != 1)
+	if (o.n_args != 1)
 		return options_usage(usage);
 	errors = g_string_new(NULL);
-	if (settings_read_document(o.rest[0], &doc, errors)) {
+	if (settings_read_document(o.args[0], &doc, errors)) {
 		fputs(errors->str, stderr);
 		g_string_free(errors, TRUE);
 		return EXIT_USAGE;
 	}
 	g_string_free(errors, TRUE);
-	if (!o.has_base && version_in_force(o.node, &o.base))
+	if (!o.has_base && fetch_version_in_force(o.node, &o.base))
 		status = EXIT_FAILED;
 	else
 		status = client_publish(o.node, o.base, doc, o.reason);
--- a/builtin/run.c
+++ b/builtin/run.c
@@ -44,7 +44,7 @@
 
 	if (status >= 0)
 		return status;
-	if (!o.settings || o.n_rest)
+	if (!o.settings || o.n_args)
 		return options_usage(usage);
 	errors = g_string_new(NULL);
 	if (settings_read(&settings, o.settings, errors)) {
--- a/builtin/status.c
+++ b/builtin/status.c
@@ -69,9 +69,9 @@
 
 	if (status >= 0)
 		return status;
-	if (o.n_rest)
+	if (o.n_args)
 		return options_usage(usage);
-	if (client_ask(o.node, "/status", NULL, &a))
+	if (client_request(o.node, "/status", NULL, &a))
 		return EXIT_FAILED;
 	answer = json_loadb(a.body->str, a.body->len, 0, NULL);
 	if (o.json)
--- a/builtin/target.c
+++ b/builtin/target.c
@@ -25,7 +25,7 @@
 	return NULL;
 }
 
-static void change(json_t *class, const struct options *o)
+static void change_class(json_t *class, const struct options *o)
 {
 	if (o->target_ms)
 		json_object_set_new(class, "target_ms",
@@ -54,18 +54,18 @@
 
 	if (status >= 0)
 		return status;
-	if (o.n_rest != 1)
+	if (o.n_args != 1)
 		return options_usage(usage);
 	doc = client_configuration(o.node, &version);
 	if (!doc)
 		return EXIT_FAILED;
-	class = find_class(doc, o.rest[0]);
+	class = find_class(doc, o.args[0]);
 	if (!class) {
-		fprintf(stderr, "briargrade: no class %s\n", o.rest[0]);
+		fprintf(stderr, "briargrade: no class %s\n", o.args[0]);
 		json_decref(doc);
 		return EXIT_USAGE;
 	}
-	change(class, &o);
+	change_class(class, &o);
 	status = client_publish(o.node, version, doc, o.reason);
 	json_decref(doc);
 	return status;
--- a/builtin/trace.c
+++ b/builtin/trace.c
@@ -10,8 +10,8 @@
  * One request's way through several processes, from their logs alone. Hosts'
  * clocks differ: a gate's lines carry when the entry sent the request, by the
  * entry's clock, and when it arrived, by the gate's own. The least difference
- * of the two over all lines of a host is what its clock is ahead, and the
- * fastest way.
+ * of the two over all lines of a host is what its clock is clock_offset, and
+ * the fastest way.
  */
 
 static const char usage[] = "briargrade trace ID FILE...";
@@ -25,7 +25,7 @@
 /* The request's lines, and the difference of each host's clock. */
 struct trace {
 	GPtrArray *lines; /* struct line */
-	GHashTable *ahead; /* host -> int64_t */
+	GHashTable *clock_offset; /* host -> int64_t */
 };
 
 static void line_free(gpointer p)
@@ -48,27 +48,27 @@
 	return json_integer_value(json_object_get(o, name));
 }
 
-static void learn_clock(struct trace *t, const json_t *o)
+static void update_clock_offset(struct trace *t, const json_t *o)
 {
 	const json_t *sent = json_object_get(o, "sent_ms");
 	const json_t *arrived = json_object_get(o, "arrived_ms");
 	const char *host = text(o, "host");
-	int64_t ahead;
-	int64_t *known;
+	int64_t clock_offset;
+	int64_t *min_offset;
 
 	if (!sent || !arrived)
 		return;
-	ahead = json_integer_value(arrived) - json_integer_value(sent);
-	known = g_hash_table_lookup(t->ahead, host);
-	if (known) {
-		*known = MIN(*known, ahead);
+	clock_offset = json_integer_value(arrived) - json_integer_value(sent);
+	min_offset = g_hash_table_lookup(t->clock_offset, host);
+	if (min_offset) {
+		*min_offset = MIN(*min_offset, clock_offset);
 		return;
 	}
-	g_hash_table_insert(t->ahead, g_strdup(host),
-			    g_memdup2(&ahead, sizeof(ahead)));
+	g_hash_table_insert(t->clock_offset, g_strdup(host),
+			    g_memdup2(&clock_offset, sizeof(clock_offset)));
 }
 
-static void take_line(struct trace *t, const char *s, const char *id)
+static void add_line(struct trace *t, const char *s, const char *id)
 {
 	const char *brace = strchr(s, '{');
 	json_t *o;
@@ -82,7 +82,7 @@
 		json_decref(o);
 		return;
 	}
-	learn_clock(t, o);
+	update_clock_offset(t, o);
 	l = g_new0(struct line, 1);
 	l->o = o;
 	l->host = text(o, "host");
@@ -100,14 +100,14 @@
 		return EXIT_FAILED;
 	}
 	while (getline(&s, &size, f) >= 0)
-		take_line(t, s, id);
+		add_line(t, s, id);
 	free(s);
 	if (f != stdin)
 		fclose(f);
 	return EXIT_OK;
 }
 
-static int by_time(gconstpointer a, gconstpointer b)
+static int compare_by_time(gconstpointer a, gconstpointer b)
 {
 	const struct line *x = *(struct line *const *)a;
 	const struct line *y = *(struct line *const *)b;
@@ -117,9 +117,10 @@
 
 static void print_line(const struct line *l, int64_t begin_ms)
 {
-	static const char *const known[] = { "unix_ms",	   "boot_ms", "host",
-					     "event",	   "id",      "sent_ms",
-					     "arrived_ms", NULL };
+	static const char *const header_fields[] = { "unix_ms",	   "boot_ms",
+						     "host",	   "event",
+						     "id",	   "sent_ms",
+						     "arrived_ms", NULL };
 	const char *name;
 	json_t *v;
 
@@ -129,7 +130,7 @@
 	{
 		char *s;
 
-		if (g_strv_contains(known, name))
+		if (g_strv_contains(header_fields, name))
 			continue;
 		s = json_dumps(v, JSON_ENCODE_ANY | JSON_COMPACT);
 		printf(" %s=%s", name, s);
@@ -144,11 +145,13 @@
 
 	for (i = 0; i < t->lines->len; i++) {
 		struct line *l = g_ptr_array_index(t->lines, i);
-		int64_t *ahead = g_hash_table_lookup(t->ahead, l->host);
+		int64_t *clock_offset =
+			g_hash_table_lookup(t->clock_offset, l->host);
 
-		l->at_ms = number(l->o, "boot_ms") - (ahead ? *ahead : 0);
+		l->at_ms = number(l->o, "boot_ms") -
+			   (clock_offset ? *clock_offset : 0);
 	}
-	g_ptr_array_sort(t->lines, by_time);
+	g_ptr_array_sort(t->lines, compare_by_time);
 	for (i = 0; i < t->lines->len; i++)
 		print_line(g_ptr_array_index(t->lines, i),
 			   ((struct line *)t->lines->pdata[0])->at_ms);
@@ -164,21 +167,21 @@
 
 	if (status >= 0)
 		return status;
-	if (o.n_rest < 2)
+	if (o.n_args < 2)
 		return options_usage(usage);
 	t.lines = g_ptr_array_new_with_free_func(line_free);
-	t.ahead =
+	t.clock_offset =
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
 	status = EXIT_OK;
-	for (i = 1; i < o.n_rest && !status; i++)
-		status = read_file(&t, o.rest[i], o.rest[0]);
+	for (i = 1; i < o.n_args && !status; i++)
+		status = read_file(&t, o.args[i], o.args[0]);
 	if (!status && !t.lines->len) {
-		fprintf(stderr, "no line about %s\n", o.rest[0]);
+		fprintf(stderr, "no line about %s\n", o.args[0]);
 		status = EXIT_FAILED;
 	}
 	if (!status)
 		print_all(&t);
 	g_ptr_array_unref(t.lines);
-	g_hash_table_unref(t.ahead);
+	g_hash_table_unref(t.clock_offset);
 	return status;
 }
--- a/node/backend.c
+++ b/node/backend.c
@@ -39,7 +39,7 @@
 
 	g_strlcpy(b.id, a->id, sizeof(b.id));
 	g_snprintf(b.life, sizeof(b.life), "%s/%" G_GINT64_FORMAT, a->id,
-		   (gint64)a->born_ms);
+		   (gint64)a->started_ms);
 	gate_announce(&n->gate, &b);
 	n->backend_left = false;
 	member_set_server_instance(&n->member, b.life);
@@ -87,7 +87,8 @@
 	*rows = grant_heartbeat_rows(&n->gate.grants, o, with_handovers,
 				     n->settings.hold_max_ms, clock_now_ms(),
 				     hold_ms);
-	text = announce_answer(*rows, *hold_ms, MAX_ANSWER_BYTES, &n_left_out);
+	text = announce_encode_answer(*rows, *hold_ms, MAX_ANSWER_BYTES,
+				      &n_left_out);
 	*n_named = *rows ? (*rows)->len - n_left_out : 0;
 	return text;
 }
@@ -139,8 +140,8 @@
 		reply_json(r, 400, "{}");
 		goto out;
 	}
-	news = instance_on_heartbeat(&n->life, a.id, a.born_ms, a.number,
-				     clock_now_ms());
+	news = instance_on_heartbeat(&n->life, a.id, a.started_ms,
+				     a.heartbeat_number, clock_now_ms());
 	if (news == INSTANCE_STALE) {
 		reply_json(r, 200, "{}");
 		goto out;
@@ -152,9 +153,10 @@
 		granter_on_beat(&n->granter);
 		goto out;
 	}
-	grant_heartbeat_received(&n->gate.grants, a.number, a.holds, a.released,
-				 n->settings.hold_max_ms, clock_now_ms());
-	text = answer(n, a.number);
+	grant_heartbeat_received(&n->gate.grants, a.heartbeat_number, a.holds,
+				 a.released, n->settings.hold_max_ms,
+				 clock_now_ms());
+	text = answer(n, a.heartbeat_number);
 	reply_json(r, 200, text);
 out:
 	announce_finish(&a);
@@ -166,14 +168,14 @@
 	struct node *n = user;
 	char id[ANNOUNCE_ID_MAX_LEN + 1];
 
-	switch (announce_call_of(r->method, r->path, id)) {
+	switch (announce_parse_call(r->method, r->path, id)) {
 	case ANNOUNCE_READY:
 		httpd_reply_text(r, node_is_ready(n) ? 200 : 503, "");
 		break;
 	case ANNOUNCE_HEARTBEAT:
 		on_beat(n, r, id);
 		break;
-	case ANNOUNCE_LEAVE:
+	case ANNOUNCE_DEREGISTER:
 		if (!strcmp(id, n->life.id))
 			leaves(n, "has left");
 		reply_json(r, 200, "{}");
--- a/node/entry-answer.c
+++ b/node/entry-answer.c
@@ -49,7 +49,7 @@
 	int64_t now = clock_now_ms();
 	const struct plan *p = &r->plan;
 
-	if (!event_due(e))
+	if (!event_allowed(e))
 		return;
 	event_write(e, r->attempt_id,
 		    "\"class\":\"%s\",\"service\":\"%s\",\"version\":%" PRId64
--- a/node/entry.c
+++ b/node/entry.c
@@ -463,7 +463,7 @@
 	if (!entry_classify(r))
 		return;
 	copy_headers(r);
-	r->traced = event_trace_next();
+	r->traced = event_should_trace();
 	retry_budget_deposit(entry_budget(e, r->service));
 	if (!ev_is_active(&e->tick))
 		ev_timer_again(e->node->loop, &e->tick);
--- a/node/gate-entries.c
+++ b/node/gate-entries.c
@@ -37,13 +37,13 @@
 static struct gate_origin *origin_of(struct gate *g,
 				     const struct request_msg *m)
 {
-	struct gate_origin *o = recent_get(&g->origins, m->origin, 0);
+	struct gate_origin *o = fifo_cache_get(&g->origins, m->origin, 0);
 
 	if (o)
 		return o;
 	o = g_new0(struct gate_origin, 1);
 	delay_init(&o->delay, m->sent_ms, clock_now_ms());
-	recent_add(&g->origins, m->origin, 0, o);
+	fifo_cache_add(&g->origins, m->origin, 0, o);
 	return o;
 }
 
--- a/node/gate-take-back.c
+++ b/node/gate-take-back.c
@@ -60,12 +60,13 @@
 void gate_note_taken_back(struct gate *g, const struct request_msg *m)
 {
 	if (!gate_was_taken_back(g, m))
-		recent_add(&g->taken_back, m->origin, m->id, g_new0(char, 1));
+		fifo_cache_add(&g->taken_back, m->origin, m->id,
+			       g_new0(char, 1));
 }
 
 bool gate_was_taken_back(const struct gate *g, const struct request_msg *m)
 {
-	return recent_get(&g->taken_back, m->origin, m->id);
+	return fifo_cache_get(&g->taken_back, m->origin, m->id);
 }
 
 static bool came_from(const struct gate_request *r, const char *address)
--- a/node/gate.c
+++ b/node/gate.c
@@ -154,8 +154,8 @@
 	balance_init(&g->balance);
 	g->class_indexes =
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
-	recent_init(&g->taken_back, MAX_TAKEN_BACK);
-	recent_init(&g->origins, MAX_ORIGINS);
+	fifo_cache_init(&g->taken_back, MAX_TAKEN_BACK);
+	fifo_cache_init(&g->origins, MAX_ORIGINS);
 }
 
 /* Release; requests still here are dropped without an answer. */
@@ -184,8 +184,8 @@
 	grants_finish(&g->grants);
 	balance_finish(&g->balance);
 	g_hash_table_unref(g->class_indexes);
-	recent_finish(&g->origins);
-	recent_finish(&g->taken_back);
+	fifo_cache_finish(&g->origins);
+	fifo_cache_finish(&g->taken_back);
 	g_hash_table_unref(g->entries);
 	g_free(g->shard_load);
 	g_rand_free(g->rand);
--- a/node/gate.h
+++ b/node/gate.h
@@ -13,7 +13,7 @@
 #include "net/request-msg.h"
 #include "route/balance.h"
 #include "state/fleet.h"
-#include "util/recent.h"
+#include "util/fifo-cache.h"
 
 /*
  * The only way to the backend server beside this node. It admits, queues or
@@ -72,9 +72,10 @@
 	bool in_service; /* by the newest configuration */
 	int64_t version; /* configuration that the queue follows */
 	GHashTable *class_indexes; /* name -> index into its classes + 1 */
-	struct recent origins; /* entry -> struct gate_origin */
+	struct fifo_cache origins; /* entry -> struct gate_origin */
 	int64_t hold_until_ms;
-	struct recent taken_back; /* entry and id, of what has not come yet */
+	/* Entry and id, of what has not come yet. */
+	struct fifo_cache taken_back;
 	int64_t heard_ms; /* last sign of life of the backend server */
 	int64_t next_probe_ms;
 	uint32_t connect_failures; /* in a row */
--- a/node/node.c
+++ b/node/node.c
@@ -85,7 +85,7 @@
 {
 	struct node *n = user;
 
-	return published_document(&n->published, in_force);
+	return operator_records_document(&n->published, in_force);
 }
 
 static void op_append(void *user, enum append_kind kind, json_t *record)
--- a/node/node.h
+++ b/node/node.h
@@ -53,9 +53,10 @@
 	struct server_instance life;
 	bool backend_left;
 	struct log_client operators; /* what operators publish, elsewhere */
-	struct published published;
+	struct operator_records published;
 	int64_t published_until; /* the last record that changed it, -1 none */
-	struct published published_newest; /* as read anew, not in use yet */
+	/* As read anew, not in use yet. */
+	struct operator_records published_newest;
 	int64_t newest_until;
 	bool reads_operators;
 	bool pass_on; /* records were read that others wait for, from here on: */
--- a/node/streams.c
+++ b/node/streams.c
@@ -156,11 +156,11 @@
 
 	n->operators.next = offset + 1;
 	if (n->operators.trimmed) {
-		if (published_take(&n->published_newest, id, record))
+		if (operator_records_apply(&n->published_newest, id, record))
 			n->newest_until = offset;
 		return;
 	}
-	if (published_take(&n->published, id, record))
+	if (operator_records_apply(&n->published, id, record))
 		n->published_until = offset;
 }
 
@@ -172,18 +172,21 @@
 	if (n->operators.trimmed) {
 		/* Of what was removed meanwhile, the newest records tell
 		 * nothing but that it is not among them. */
-		if (published_replace(&n->published, &n->published_newest))
+		if (operator_records_replace(&n->published,
+					     &n->published_newest))
 			n->newest_until = n->operators.scan_from - 1;
 		n->published_until = MAX(n->published_until, n->newest_until);
 		log_client_seek(&n->operators, n->operators.scan_from);
 	}
 	if (n->published_until > n->member.published_source &&
 	    n->published.config) {
-		member_set_published(&n->member, n->published_until,
-				     published_bytes(&n->published),
-				     clock_now_ms());
+		member_set_published(
+			&n->member, n->published_until,
+			operator_records_config_bytes(&n->published),
+			clock_now_ms());
 		EVENT(published, NULL, "\"source\":%" PRId64 ",\"bytes\":%u",
-		      n->published_until, published_bytes(&n->published));
+		      n->published_until,
+		      operator_records_config_bytes(&n->published));
 	}
 	member_operator_stream_read(&n->member, clock_now_ms());
 }
@@ -192,7 +195,7 @@
 {
 	struct node *n = user;
 
-	published_clear(&n->published_newest);
+	operator_records_clear(&n->published_newest);
 	log_client_scan(&n->operators, first);
 }
 
@@ -306,8 +309,8 @@
 	const char *address = n->settings.log;
 
 	log_scan_init(&n->scan);
-	published_init(&n->published);
-	published_init(&n->published_newest);
+	operator_records_init(&n->published);
+	operator_records_init(&n->published_newest);
 	n->published_until = -1;
 	n->newest_until = -1;
 	n->reads_operators = true;
@@ -334,7 +337,7 @@
 	log_client_finish(&n->log);
 	if (n->operators.ops)
 		log_client_finish(&n->operators);
-	published_finish(&n->published);
-	published_finish(&n->published_newest);
+	operator_records_finish(&n->published);
+	operator_records_finish(&n->published_newest);
 	log_scan_finish(&n->scan);
 }
--- a/settings/changes.c
+++ b/settings/changes.c
@@ -13,8 +13,8 @@
 	return s ? s : "";
 }
 
-static void key_of(GString *out, const char *method, const char *host,
-		   const char *path)
+static void format_key(GString *out, const char *method, const char *host,
+		       const char *path)
 {
 	g_autofree char *name = g_ascii_strdown(host, -1);
 
@@ -25,14 +25,14 @@
 	g_string_append(out, path);
 }
 
-static void key_of_class(GString *out, const json_t *class)
+static void format_class_key(GString *out, const json_t *class)
 {
-	key_of(out, member_text(class, "method"), member_text(class, "host"),
-	       member_text(class, "path"));
+	format_key(out, member_text(class, "method"),
+		   member_text(class, "host"), member_text(class, "path"));
 }
 
 /* Classes by their keys; of several under one key the last, which is served. */
-static GHashTable *by_key(const json_t *classes)
+static GHashTable *index_classes_by_key(const json_t *classes)
 {
 	GHashTable *t =
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
@@ -42,7 +42,7 @@
 
 	json_array_foreach(classes, i, class)
 	{
-		key_of_class(key, class);
+		format_class_key(key, class);
 		g_hash_table_replace(t, g_strdup(key->str), class);
 	}
 	g_string_free(key, TRUE);
@@ -55,7 +55,7 @@
 }
 
 /* The members that differ, but for the classes. */
-static json_t *set_between(const json_t *from, const json_t *to)
+static json_t *changed_members(const json_t *from, const json_t *to)
 {
 	json_t *set = json_object();
 	const char *name;
@@ -70,7 +70,7 @@
 	return set;
 }
 
-static bool names_service(const json_t *services, const char *name)
+static bool lists_service(const json_t *services, const char *name)
 {
 	json_t *s;
 	size_t i;
@@ -84,35 +84,36 @@
 }
 
 /* While classes are left that go to them, services stay. */
-static void keep_services(json_t *set, const json_t *from)
+static void keep_removed_services(json_t *set, const json_t *from)
 {
 	json_t *services = json_object_get(set, "services");
-	json_t *both;
+	json_t *services_of_both;
 	json_t *s;
 	size_t i;
 
 	if (!services)
 		return;
-	both = json_copy(services);
+	services_of_both = json_copy(services);
 	json_array_foreach(json_object_get(from, "services"), i, s)
 	{
-		if (!names_service(both, member_text(s, "name")))
-			json_array_append(both, s);
+		if (!lists_service(services_of_both, member_text(s, "name")))
+			json_array_append(services_of_both, s);
 	}
-	json_object_set_new(set, "services", both);
+	json_object_set_new(set, "services", services_of_both);
 }
 
 /* Names of fields and figures, which compress well whatever they are. */
 #define CLASS_OVERHEAD_BYTES 48
 
-/* Room for what a record carries. Something always fits, so that it goes on. */
-struct room {
+/* Room for what a record carries. Something always reserve_space, so that it
+ * goes on. */
+struct record_space {
 	size_t bytes;
 	size_t max_bytes;
 	bool full;
 };
 
-static bool fits(struct room *r, size_t bytes)
+static bool reserve_space(struct record_space *r, size_t bytes)
 {
 	r->full = r->full || (r->bytes && r->bytes + bytes > r->max_bytes);
 	if (!r->full)
@@ -121,7 +122,7 @@
 }
 
 /* What a class takes in a record at most, once that is compressed. */
-static size_t class_bytes(const json_t *class)
+static size_t max_class_bytes(const json_t *class)
 {
 	const json_t *split = json_object_get(class, "split");
 	size_t bytes = CLASS_OVERHEAD_BYTES +
@@ -136,8 +137,10 @@
 }
 
 /* New and different classes. */
-static void add_classes(json_t *out, const json_t *to, GHashTable *have,
-			GHashTable *wanted, struct room *room)
+static void add_changed_classes(json_t *out, const json_t *to,
+				GHashTable *from_classes,
+				GHashTable *to_classes,
+				struct record_space *space)
 {
 	GString *key = g_string_new(NULL);
 	json_t *class;
@@ -145,19 +148,21 @@
 
 	json_array_foreach(classes_of(to), i, class)
 	{
-		key_of_class(key, class);
-		if (g_hash_table_lookup(wanted, key->str) != class ||
-		    json_equal(g_hash_table_lookup(have, key->str), class))
+		format_class_key(key, class);
+		if (g_hash_table_lookup(to_classes, key->str) != class ||
+		    json_equal(g_hash_table_lookup(from_classes, key->str),
+			       class))
 			continue;
-		if (!fits(room, class_bytes(class)))
+		if (!reserve_space(space, max_class_bytes(class)))
 			break;
 		json_array_append(out, class);
 	}
 	g_string_free(key, TRUE);
 }
 
-static void add_removed(json_t *out, const json_t *from, GHashTable *wanted,
-			struct room *room)
+static void add_removed_classes(json_t *out, const json_t *from,
+				GHashTable *to_classes,
+				struct record_space *space)
 {
 	GString *key = g_string_new(NULL);
 	json_t *class;
@@ -165,10 +170,10 @@
 
 	json_array_foreach(classes_of(from), i, class)
 	{
-		key_of_class(key, class);
-		if (g_hash_table_contains(wanted, key->str))
+		format_class_key(key, class);
+		if (g_hash_table_contains(to_classes, key->str))
 			continue;
-		if (!fits(room, key->len + CLASS_OVERHEAD_BYTES))
+		if (!reserve_space(space, key->len + CLASS_OVERHEAD_BYTES))
 			break;
 		json_array_append_new(
 			out, json_pack("[s,s,s]", member_text(class, "method"),
@@ -179,40 +184,40 @@
 }
 
 json_t *changes_between(const json_t *from, const json_t *to, size_t max_bytes,
-			bool *whole)
+			bool *complete)
 {
-	GHashTable *have = by_key(classes_of(from));
-	GHashTable *wanted = by_key(classes_of(to));
-	json_t *set = set_between(from, to);
+	GHashTable *from_classes = index_classes_by_key(classes_of(from));
+	GHashTable *to_classes = index_classes_by_key(classes_of(to));
+	json_t *set = changed_members(from, to);
 	json_t *classes = json_array();
 	json_t *removed = json_array();
-	struct room room = { .max_bytes = max_bytes };
-
-	add_classes(classes, to, have, wanted, &room);
-	if (!room.full)
-		add_removed(removed, from, wanted, &room);
-	*whole = !room.full;
-	if (room.full) {
-		keep_services(set, from);
-		/* It names what operators published whole. */
+	struct record_space space = { .max_bytes = max_bytes };
+
+	add_changed_classes(classes, to, from_classes, to_classes, &space);
+	if (!space.full)
+		add_removed_classes(removed, from, to_classes, &space);
+	*complete = !space.full;
+	if (space.full) {
+		keep_removed_services(set, from);
+		/* It names what operators published complete. */
 		json_object_del(set, "source");
 	}
-	g_hash_table_unref(have);
-	g_hash_table_unref(wanted);
+	g_hash_table_unref(from_classes);
+	g_hash_table_unref(to_classes);
 	return json_pack("{s:I,s:o,s:o,s:o}", "version",
 			 json_integer_value(json_object_get(to, "source")),
 			 "set", set, "classes", classes, "removed", removed);
 }
 
 /* What is done with one class that there is. */
-struct edit {
-	json_t *class; /* takes its place, NULL none does */
-	size_t read; /* where it stands among those that were read */
+struct class_edit {
+	json_t *class; /* takes its origin, NULL none does */
+	size_t changed_index; /* where it stands among those that were read */
 	bool placed;
 };
 
 /* By key; an entry for each class that is removed, new or different. */
-static GHashTable *edits_of(const json_t *changes, struct json_check *c)
+static GHashTable *list_class_edits(const json_t *changes, struct json_check *c)
 {
 	GHashTable *t =
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
@@ -231,72 +236,73 @@
 			json_check_fail(c, "removed", "names no class");
 			break;
 		}
-		key_of(key, part[0], part[1], part[2]);
+		format_key(key, part[0], part[1], part[2]);
 		g_hash_table_replace(t, g_strdup(key->str),
-				     g_new0(struct edit, 1));
+				     g_new0(struct class_edit, 1));
 	}
 	json_array_foreach(json_object_get(changes, "classes"), i, item)
 	{
-		struct edit *e = g_new0(struct edit, 1);
+		struct class_edit *e = g_new0(struct class_edit, 1);
 
 		e->class = item;
-		e->read = i;
-		key_of_class(key, item);
+		e->changed_index = i;
+		format_class_key(key, item);
 		g_hash_table_replace(t, g_strdup(key->str), e);
 	}
 	g_string_free(key, TRUE);
 	return t;
 }
 
-static struct edit *edit_of(GHashTable *edits, const json_t *class,
-			    GString *key)
+static struct class_edit *find_class_edit(GHashTable *edits,
+					  const json_t *class, GString *key)
 {
-	key_of_class(key, class);
+	format_class_key(key, class);
 	return g_hash_table_lookup(edits, key->str);
 }
 
 /*
- * The classes that follow, in the order of those before. was[i] is the place
- * that the i-th had before, or, from n_before on, its place among those read.
+ * The classes that follow, in the order of those before. origins[i] is the
+ * origin that the i-th had before, or, from n_before on, its origin among those
+ * read.
  */
-static json_t *edit_classes(const json_t *before, const json_t *changes,
-			    GHashTable *edits, GArray *was)
+static json_t *apply_class_edits(const json_t *before, const json_t *changes,
+				 GHashTable *edits, GArray *origins)
 {
 	size_t n_before = json_array_size(before);
 	GString *key = g_string_new(NULL);
 	json_t *after = json_array();
-	struct edit *e;
+	struct class_edit *e;
 	json_t *class;
-	size_t i, place;
+	size_t i, origin;
 
 	json_array_foreach(before, i, class)
 	{
-		e = edit_of(edits, class, key);
+		e = find_class_edit(edits, class, key);
 		if (e && (!e->class || e->placed))
 			continue;
-		place = e ? n_before + e->read : i;
+		origin = e ? n_before + e->changed_index : i;
 		if (e)
 			e->placed = true;
 		json_array_append(after, e ? e->class : class);
-		g_array_append_val(was, place);
+		g_array_append_val(origins, origin);
 	}
 	json_array_foreach(json_object_get(changes, "classes"), i, class)
 	{
-		e = edit_of(edits, class, key);
+		e = find_class_edit(edits, class, key);
 		if (e->placed)
 			continue;
 		e->placed = true;
-		place = n_before + e->read;
+		origin = n_before + e->changed_index;
 		json_array_append(after, e->class);
-		g_array_append_val(was, place);
+		g_array_append_val(origins, origin);
 	}
 	g_string_free(key, TRUE);
 	return after;
 }
 
 /* Read the classes that changed; the services are those of cfg. */
-static GArray *read_changed(const struct configuration *cfg,
-			    const json_t *changes, struct json_check *c)
+static GArray *read_changed_classes(const struct configuration *cfg,
+				    const json_t *changes, struct json_check *c)
 {
 	GArray *read = g_array_new(FALSE, TRUE, sizeof(struct class_settings));
 	json_t *class;
@@ -313,21 +319,22 @@
 	return read;
 }
 
-/* Move what was read before and what was read now into the new order. */
-static void arrange(struct configuration *cfg, GArray *read, const GArray *was)
+/* Move what origins read before and what origins read now into the new order. */
+static void rebuild_classes(struct configuration *cfg, GArray *read,
+			    const GArray *origins)
 {
 	uint32_t n_before = cfg->n_classes;
 	struct class_settings *classes =
-		g_new0(struct class_settings, was->len);
+		g_new0(struct class_settings, origins->len);
 	uint32_t i;
 
-	for (i = 0; i < was->len; i++) {
-		size_t place = g_array_index(was, size_t, i);
+	for (i = 0; i < origins->len; i++) {
+		size_t origin = g_array_index(origins, size_t, i);
 		struct class_settings *k =
-			place < n_before
-				? &cfg->classes[place]
+			origin < n_before
+				? &cfg->classes[origin]
 				: &g_array_index(read, struct class_settings,
-						 place - n_before);
+						 origin - n_before);
 
 		classes[i] = *k;
 		memset(k, 0, sizeof(*k));
@@ -336,20 +343,20 @@
 		class_finish(&cfg->classes[i]);
 	g_free(cfg->classes);
 	cfg->classes = classes;
-	cfg->n_classes = was->len;
+	cfg->n_classes = origins->len;
 	match_index_finish(&cfg->index);
 	match_index_init(&cfg->index, cfg->classes, cfg->n_classes);
 }
 
-static bool only_source(const json_t *set)
+static bool changes_only_source(const json_t *set)
 {
 	return json_object_size(set) ==
 	       (json_object_get(set, "source") ? 1 : 0);
 }
 
 /* Services and the like are few and seldom change: all is read anew then. */
-static int read_anew(struct configuration *cfg, const json_t *doc,
-		     struct json_check *c)
+static int reread_document(struct configuration *cfg, const json_t *doc,
+			   struct json_check *c)
 {
 	struct configuration *new = g_new0(struct configuration, 1);
 	int err = configuration_read(new, doc, c);
@@ -365,13 +372,13 @@
 }
 
 static int read_classes(struct configuration *cfg, const json_t *changes,
-			const GArray *was, struct json_check *c)
+			const GArray *origins, struct json_check *c)
 {
-	GArray *read = read_changed(cfg, changes, c);
+	GArray *read = read_changed_classes(cfg, changes, c);
 	uint32_t i;
 
 	if (!c->n_errors)
-		arrange(cfg, read, was);
+		rebuild_classes(cfg, read, origins);
 	for (i = 0; i < read->len; i++)
 		class_finish(&g_array_index(read, struct class_settings, i));
 	g_array_unref(read);
@@ -383,31 +390,31 @@
 {
 	const json_t *set = json_object_get(changes, "set");
 	GHashTable *edits;
-	GArray *was;
+	GArray *origins;
 	json_t *next;
 	int err = RESULT_INVALID;
 
-	if (!json_is_object(set) || (!*doc && only_source(set))) {
+	if (!json_is_object(set) || (!*doc && changes_only_source(set))) {
 		json_check_fail(c, "set", "must say what there is");
 		return RESULT_INVALID;
 	}
-	was = g_array_new(FALSE, FALSE, sizeof(size_t));
-	edits = edits_of(changes, c);
+	origins = g_array_new(FALSE, FALSE, sizeof(size_t));
+	edits = list_class_edits(changes, c);
 	next = *doc ? json_copy(*doc) : json_object();
 	json_object_update(next, (json_t *)set);
 	json_object_set_new(next, "classes",
-			    edit_classes(classes_of(*doc), changes, edits,
-					 was));
+			    apply_class_edits(classes_of(*doc), changes, edits,
+					      origins));
 	if (!c->n_errors)
-		err = *doc && only_source(set)
-			      ? read_classes(cfg, changes, was, c)
-			      : read_anew(cfg, next, c);
+		err = *doc && changes_only_source(set)
+			      ? read_classes(cfg, changes, origins, c)
+			      : reread_document(cfg, next, c);
 	if (!err) {
 		json_decref(*doc);
 		*doc = json_incref(next);
 	}
 	json_decref(next);
 	g_hash_table_unref(edits);
-	g_array_unref(was);
+	g_array_unref(origins);
 	return err;
 }
--- a/settings/changes.h
+++ b/settings/changes.h
@@ -22,7 +22,7 @@
  * a document from which the next ones lead on.
  */
 json_t *changes_between(const json_t *from, const json_t *to, size_t max_bytes,
-			bool *whole);
+			bool *complete);
 
 /*
  * Apply changes to a document and to what was read from it. On RESULT_INVALID,
--- a/settings/configuration.c
+++ b/settings/configuration.c
@@ -10,7 +10,7 @@
 #define DEFAULT_GUARD_MS 500
 /* With the caller's own next tries a key's move still finds its new owner. */
 #define DEFAULT_ATTEMPTS 24
-#define MAX_INT INT32_MAX
+#define MAX_LIMIT INT32_MAX
 
 static const char *const top_fields[] = { "services", "classes", "data_centres",
 					  "limits",   "source",	 NULL };
@@ -44,7 +44,7 @@
 
 static void check_name(struct json_check *c, const char *path, const char *s)
 {
-	if (strpbrk(s, NAME_NOT_ALLOWED))
+	if (strpbrk(s, NAME_FORBIDDEN_CHARS))
 		json_check_fail(c, path, "name holds a space, slash or quote");
 }
 
@@ -184,7 +184,7 @@
 					  CLASS_TEXT_MAX_LEN));
 }
 
-static void lower(char *s)
+static void lowercase(char *s)
 {
 	for (; *s; s++)
 		*s = g_ascii_tolower(*s);
@@ -220,7 +220,7 @@
 	k->priority = json_check_int(c, obj, path, "priority", 0, 0,
 				     CLASS_MAX_PRIORITY);
 	k->host = read_text(obj, path, "host", "", c);
-	lower(k->host);
+	lowercase(k->host);
 	g_strlcpy(k->method,
 		  json_check_string(c, obj, path, "method",
 				    JSON_REQUIRED_STRING, METHOD_MAX_LEN),
@@ -300,10 +300,10 @@
 		return;
 	}
 	json_check_fields(c, o, "$.limits", limit_fields);
-	l->max_header_bytes = json_check_int(c, o, "$.limits",
-					     "max_header_bytes", 0, 0, MAX_INT);
+	l->max_header_bytes = json_check_int(
+		c, o, "$.limits", "max_header_bytes", 0, 0, MAX_LIMIT);
 	l->max_body_bytes = json_check_int(c, o, "$.limits", "max_body_bytes",
-					   0, 0, MAX_INT);
+					   0, 0, MAX_LIMIT);
 	l->header_timeout_ms = json_check_int(c, o, "$.limits",
 					      "header_timeout_ms", 0, 0,
 					      CLASS_MAX_DEADLINE_MS);
@@ -325,7 +325,7 @@
 	memset(cfg, 0, sizeof(*cfg));
 }
 
-static size_t length(const json_t *doc, const char *list)
+static size_t list_length(const json_t *doc, const char *list)
 {
 	return json_array_size(json_object_get(doc, list));
 }
@@ -341,10 +341,11 @@
 	json_check_fields(c, doc, "$", top_fields);
 	read_limits(cfg, json_object_get(doc, "limits"), c);
 	cfg->services =
-		g_new0(struct service_settings, length(doc, "services"));
-	cfg->classes = g_new0(struct class_settings, length(doc, "classes"));
+		g_new0(struct service_settings, list_length(doc, "services"));
+	cfg->classes =
+		g_new0(struct class_settings, list_length(doc, "classes"));
 	cfg->data_centres = g_new0(struct data_centre_settings,
-				   length(doc, "data_centres"));
+				   list_length(doc, "data_centres"));
 	read_list(cfg, doc, "services", read_service, c);
 	read_list(cfg, doc, "classes", read_class, c);
 	read_list(cfg, doc, "data_centres", read_data_centre, c);
--- a/settings/configuration.h
+++ b/settings/configuration.h
@@ -9,7 +9,7 @@
 #include "settings/match.h"
 
 #define NAME_MAX_LEN 31
-#define NAME_NOT_ALLOWED " \t\r\n/\"\\"
+#define NAME_FORBIDDEN_CHARS " \t\r\n/\"\\"
 /*
  * How many services, classes and data centres there may be is bounded only by
  * the record that carries them.
--- a/settings/settings.c
+++ b/settings/settings.c
@@ -79,7 +79,7 @@
 {
 	g_autofree char *path = g_strdup_printf("$.%s", name);
 
-	read_text(c, o, name, out, SETTINGS_ADDRESS_MAX + 1);
+	read_text(c, o, name, out, SETTINGS_ADDRESS_MAX_LEN + 1);
 	if (out[0])
 		check_address(c, path, out);
 }
@@ -102,7 +102,7 @@
 
 	if (port && colon)
 		g_strlcpy(colon, port,
-			  SETTINGS_ADDRESS_MAX + 1 - (colon - seed));
+			  SETTINGS_ADDRESS_MAX_LEN + 1 - (colon - seed));
 }
 
 static void read_seeds(struct json_check *c, const json_t *o,
@@ -126,7 +126,7 @@
 		g_autofree char *path = g_strdup_printf("$.seeds[%zu]", i);
 		const char *text = json_string_value(v);
 
-		if (!text || strlen(text) > SETTINGS_ADDRESS_MAX) {
+		if (!text || strlen(text) > SETTINGS_ADDRESS_MAX_LEN) {
 			json_check_fail(c, path, "must be an address");
 			continue;
 		}
@@ -192,12 +192,12 @@
 static void read_grants(struct json_check *c, const json_t *o,
 			struct settings *s)
 {
-	const char *usual = s->interface == INTERFACE_PLATFORM ? "heartbeat"
-							       : "none";
+	const char *default_name =
+		s->interface == INTERFACE_PLATFORM ? "heartbeat" : "none";
 	const char *name = json_check_string(c, o, "$", "grants", "", 15);
 
 	if (!name[0])
-		name = usual;
+		name = default_name;
 	s->grants = grant_ops_by_name(name);
 	if (!s->grants && strcmp(name, "none"))
 		json_check_fail(c, "$.grants",
@@ -231,7 +231,8 @@
 					     DEFAULT_RETRY_RESERVE, 0, 1e6);
 }
 
-static void read_all(struct settings *s, const json_t *o, struct json_check *c)
+static void read_settings(struct settings *s, const json_t *o,
+			  struct json_check *c)
 {
 	memset(s, 0, sizeof(*s));
 	json_check_fields(c, o, "$", fields);
@@ -259,7 +260,7 @@
 	s->test_hooks = json_check_bool(c, o, "$", "test_hooks", false);
 }
 
-static json_t *load(const char *path, GString *errors)
+static json_t *load_json_file(const char *path, GString *errors)
 {
 	json_error_t e;
 	json_t *o = json_load_file(path, JSON_REJECT_DUPLICATES, &e);
@@ -272,7 +273,7 @@
 
 int settings_read(struct settings *s, const char *path, GString *errors)
 {
-	json_t *o = load(path, errors);
+	json_t *o = load_json_file(path, errors);
 	struct json_check c;
 	uint32_t n;
 
@@ -280,7 +281,7 @@
 		return RESULT_IO;
 	json_check_init(&c, path);
 	if (json_is_object(o))
-		read_all(s, o, &c);
+		read_settings(s, o, &c);
 	else
 		json_check_fail(&c, "$", "must be an object");
 	g_strlcpy(s->path, path, sizeof(s->path));
@@ -297,7 +298,7 @@
 	struct json_check c;
 	int err;
 
-	*doc = load(path, errors);
+	*doc = load_json_file(path, errors);
 	if (!*doc)
 		return RESULT_IO;
 	cfg = g_new0(struct configuration, 1);
--- a/settings/settings.h
+++ b/settings/settings.h
@@ -11,7 +11,7 @@
 #include "route/choose.h"
 #include "settings/configuration.h"
 
-#define SETTINGS_ADDRESS_MAX 63
+#define SETTINGS_ADDRESS_MAX_LEN 63
 #define SETTINGS_MAX_SEEDS 16
 
 /* How nodes are spoken to: our own interface, or that of the platform. */
@@ -28,17 +28,17 @@
 	char host[64];
 	char data_centre[NAME_MAX_LEN + 1];
 	char service[NAME_MAX_LEN + 1];
-	char caller_address[SETTINGS_ADDRESS_MAX + 1];
-	char peer_address[SETTINGS_ADDRESS_MAX + 1];
-	char operator_address[SETTINGS_ADDRESS_MAX + 1];
-	char backend_server[SETTINGS_ADDRESS_MAX + 1];
-	char log[SETTINGS_ADDRESS_MAX + 1];
-	char seeds[SETTINGS_MAX_SEEDS][SETTINGS_ADDRESS_MAX + 1];
+	char caller_address[SETTINGS_ADDRESS_MAX_LEN + 1];
+	char peer_address[SETTINGS_ADDRESS_MAX_LEN + 1];
+	char operator_address[SETTINGS_ADDRESS_MAX_LEN + 1];
+	char backend_server[SETTINGS_ADDRESS_MAX_LEN + 1];
+	char log[SETTINGS_ADDRESS_MAX_LEN + 1];
+	char seeds[SETTINGS_MAX_SEEDS][SETTINGS_ADDRESS_MAX_LEN + 1];
 	uint32_t n_seeds;
 	char log_level[16];
 	bool log_json;
-	char ready_address[SETTINGS_ADDRESS_MAX + 1]; /* "" none of its own */
-	char announce_address[SETTINGS_ADDRESS_MAX + 1]; /* "" none */
+	char ready_address[SETTINGS_ADDRESS_MAX_LEN + 1]; /* "" none */
+	char announce_address[SETTINGS_ADDRESS_MAX_LEN + 1]; /* "" none */
 	/* How backend servers are told what keys they hold, NULL not at all. */
 	const struct grant_ops *grants;
 	int64_t hold_max_ms; /* longest that one such grant may last */
--- a/t/slope.c
+++ b/t/slope.c
@@ -175,17 +175,17 @@
 {
 	char *text = routes_text(n, version);
 	json_t *key = json_string(text);
-	struct published p;
+	struct operator_records p;
 	double proposer, host = 0;
 	size_t bytes = 0;
 	bool whole = false;
 	json_t *doc;
 	int64_t t;
 
-	published_init(&p);
-	published_take(&p, "config", key);
+	operator_records_init(&p);
+	operator_records_apply(&p, "config", key);
 	t = clock_now_us();
-	doc = published_document(&p, node.fleet.document);
+	doc = operator_records_document(&p, node.fleet.document);
 	proposer = ms_since(t);
 	while (!whole) {
 		json_t *changes, *r;
@@ -213,7 +213,7 @@
 	free(text);
 	json_decref(key);
 	json_decref(doc);
-	published_finish(&p);
+	operator_records_finish(&p);
 }
 
 /* What a configuration of n routes costs. */
--- a/t/test-gate.c
+++ b/t/test-gate.c
@@ -8,7 +8,7 @@
 #include "gate/limit.h"
 #include "gate/link.h"
 #include "gate/queue.h"
-#include "util/recent.h"
+#include "util/fifo-cache.h"
 #include "util/result.h"
 
 /*
@@ -562,20 +562,21 @@
 /* A flood of what is noted must not make the newest of it forgotten. */
 static void test_recent_drops_the_oldest(void)
 {
-	struct recent r;
+	struct fifo_cache r;
 	uint64_t i;
 
-	recent_init(&r, 8);
+	fifo_cache_init(&r, 8);
 	for (i = 0; i < 100; i++) {
-		recent_add(&r, i, i % 3, g_new0(char, 1));
-		g_assert_nonnull(recent_get(&r, i, i % 3));
+		fifo_cache_add(&r, i, i % 3, g_new0(char, 1));
+		g_assert_nonnull(fifo_cache_get(&r, i, i % 3));
 		if (i)
-			g_assert_nonnull(recent_get(&r, i - 1, (i - 1) % 3));
-		g_assert_null(recent_get(&r, i, i % 3 + 1));
+			g_assert_nonnull(
+				fifo_cache_get(&r, i - 1, (i - 1) % 3));
+		g_assert_null(fifo_cache_get(&r, i, i % 3 + 1));
 	}
-	g_assert_nonnull(recent_get(&r, 92, 92 % 3));
-	g_assert_null(recent_get(&r, 91, 91 % 3));
-	recent_finish(&r);
+	g_assert_nonnull(fifo_cache_get(&r, 92, 92 % 3));
+	g_assert_null(fifo_cache_get(&r, 91, 91 % 3));
+	fifo_cache_finish(&r);
 }
 
 int main(int argc, char **argv)
--- a/t/test-grants.c
+++ b/t/test-grants.c
@@ -561,7 +561,7 @@
 	uint32_t n_left_out;
 
 	g_assert_nonnull(rows);
-	g_free(announce_answer(rows, *hold_ms, max_len, &n_left_out));
+	g_free(announce_encode_answer(rows, *hold_ms, max_len, &n_left_out));
 	*n_rows = rows->len - n_left_out;
 	return rows;
 }
--- a/t/test-published.c
+++ b/t/test-published.c
@@ -50,15 +50,15 @@
 /* Apply what operators published; the caller finishes f. */
 static void publish(struct fleet *f, json_t *record)
 {
-	struct published p;
+	struct operator_records p;
 	json_t *doc, *text, *r;
 	char *dump = json_dumps(record, 0);
 	bool whole = false;
 
-	published_init(&p);
+	operator_records_init(&p);
 	text = json_string(dump);
-	g_assert_true(published_take(&p, "config", text));
-	doc = published_document(&p, f->document);
+	g_assert_true(operator_records_apply(&p, "config", text));
+	doc = operator_records_document(&p, f->document);
 	g_assert_nonnull(doc);
 	while (!whole) {
 		json_t *changes =
@@ -75,7 +75,7 @@
 	json_decref(text);
 	json_decref(doc);
 	json_decref(record);
-	published_finish(&p);
+	operator_records_finish(&p);
 }
 
 static const char *match(const struct fleet *f, const char *path)
@@ -336,27 +336,29 @@
 	fleet_finish(&f);
 }
 
-static void take_text(struct published *p, const char *key, const char *text)
+static void take_text(struct operator_records *p, const char *key,
+		      const char *text)
 {
 	json_t *value = text ? json_string(text) : json_null();
 
-	published_take(p, key, value);
+	operator_records_apply(p, key, value);
 	json_decref(value);
 }
 
-static json_int_t version_of_document(const struct published *p,
+static json_int_t version_of_document(const struct operator_records *p,
 				      const json_t *in_force)
 {
-	json_t *doc = published_document(p, in_force);
+	json_t *doc = operator_records_document(p, in_force);
 	json_int_t version = json_integer_value(json_object_get(doc, "source"));
 
 	json_decref(doc);
 	return version;
 }
 
-static uint32_t n_evacuated(const struct published *p, const json_t *in_force)
+static uint32_t n_evacuated(const struct operator_records *p,
+			    const json_t *in_force)
 {
-	json_t *doc = published_document(p, in_force);
+	json_t *doc = operator_records_document(p, in_force);
 	uint32_t n = json_array_size(json_object_get(doc, "data_centres"));
 
 	json_decref(doc);
@@ -376,12 +378,12 @@
 	/* What cannot be used may be warned of. */
 	fatal = g_log_set_always_fatal(G_LOG_FATAL_MASK | G_LOG_LEVEL_CRITICAL);
 	for (i = 0; i < G_N_ELEMENTS(unusable); i++) {
-		struct published p;
+		struct operator_records p;
 		json_t *in_force;
 
-		published_init(&p);
+		operator_records_init(&p);
 		take_text(&p, "config", text);
-		in_force = published_document(&p, NULL);
+		in_force = operator_records_document(&p, NULL);
 		take_text(&p, "config", unusable[i]);
 		take_text(&p, "evacuate/hakata", "{}");
 		g_assert_cmpint(version_of_document(&p, in_force), ==, 5);
@@ -389,7 +391,7 @@
 		take_text(&p, "evacuate/hakata", NULL);
 		g_assert_cmpuint(n_evacuated(&p, in_force), ==, 0);
 		json_decref(in_force);
-		published_finish(&p);
+		operator_records_finish(&p);
 	}
 	g_log_set_always_fatal(fatal);
 	free(text);
@@ -402,14 +404,14 @@
 	json_t *record = operators_record(5, many_rules(3));
 	char *text = json_dumps(record, 0);
 	GLogLevelFlags fatal;
-	struct published p;
+	struct operator_records p;
 
 	fatal = g_log_set_always_fatal(G_LOG_FATAL_MASK | G_LOG_LEVEL_CRITICAL);
-	published_init(&p);
+	operator_records_init(&p);
 	take_text(&p, "config", text);
 	take_text(&p, "config", "{\"version\":");
 	g_assert_cmpint(version_of_document(&p, NULL), ==, 5);
-	published_finish(&p);
+	operator_records_finish(&p);
 	g_log_set_always_fatal(fatal);
 	free(text);
 	json_decref(record);
--- a/util/event.c
+++ b/util/event.c
@@ -9,15 +9,16 @@
 #include "util/counters.h"
 #include "util/event.h"
 
-#define MAX_LINE 1024 /* below PIPE_BUF, so that a write is whole or none */
-#define MAX_TEXT 64
+#define MAX_LINE_BYTES \
+	1024 /* below PIPE_BUF, so that a write is whole or none */
+#define MAX_TEXT_LEN 64
 #define N_TEXTS 4
 #define TRACED_PER_S 4.0
 #define MS_PER_S 1000.0
 
-struct bucket {
+struct token_bucket {
 	double tokens;
-	int64_t filled_ms;
+	int64_t filled_at_ms;
 	uint64_t left_out;
 };
 
@@ -31,8 +32,8 @@
 #undef EVENT_KIND
 };
 
-static struct bucket buckets[N_EVENTS];
-static struct bucket traced;
+static struct token_bucket buckets[N_EVENTS];
+static struct token_bucket trace_bucket;
 static char host_name[64];
 static bool enabled;
 
@@ -51,43 +52,43 @@
 	g_strlcpy(host_name, host, sizeof(host_name));
 	for (i = 0; i < N_EVENTS; i++) {
 		buckets[i].tokens = kinds[i].burst;
-		buckets[i].filled_ms = boot_ms();
+		buckets[i].filled_at_ms = boot_ms();
 	}
-	traced.tokens = TRACED_PER_S;
-	traced.filled_ms = boot_ms();
+	trace_bucket.tokens = TRACED_PER_S;
+	trace_bucket.filled_at_ms = boot_ms();
 	enabled = true;
 }
 
-static bool take(struct bucket *b, double rate, double burst)
+static bool take_token(struct token_bucket *b, double rate, double burst)
 {
 	int64_t now = boot_ms();
 
-	b->tokens =
-		MIN(burst, b->tokens + (now - b->filled_ms) / MS_PER_S * rate);
-	b->filled_ms = now;
+	b->tokens = MIN(burst,
+			b->tokens + (now - b->filled_at_ms) / MS_PER_S * rate);
+	b->filled_at_ms = now;
 	if (b->tokens < 1)
 		return false;
 	b->tokens -= 1;
 	return true;
 }
 
-bool event_due(enum event e)
+bool event_allowed(enum event e)
 {
 	if (!enabled)
 		return false;
-	if (take(&buckets[e], kinds[e].rate, kinds[e].burst))
+	if (take_token(&buckets[e], kinds[e].rate, kinds[e].burst))
 		return true;
 	buckets[e].left_out++;
 	COUNT(log_lines_left_out);
 	return false;
 }
 
-bool event_trace_next(void)
+bool event_should_trace(void)
 {
-	return enabled && take(&traced, TRACED_PER_S, TRACED_PER_S);
+	return enabled && take_token(&trace_bucket, TRACED_PER_S, TRACED_PER_S);
 }
 
-void event_put_line(const char *line, size_t len)
+void event_write_line(const char *line, size_t len)
 {
 	struct pollfd p = { .fd = STDOUT_FILENO, .events = POLLOUT };
 
@@ -102,12 +103,12 @@
 
 const char *event_text(const char *s)
 {
-	static char texts[N_TEXTS][MAX_TEXT + 1];
+	static char texts[N_TEXTS][MAX_TEXT_LEN + 1];
 	static uint32_t next;
 	char *out = texts[next++ % N_TEXTS];
 	uint32_t i;
 
-	for (i = 0; s && s[i] && s[i] != '\n' && i < MAX_TEXT; i++)
+	for (i = 0; s && s[i] && s[i] != '\n' && i < MAX_TEXT_LEN; i++)
 		out[i] = g_ascii_isprint(s[i]) && !strchr("\"\\", s[i]) ? s[i]
 									: '?';
 	out[i] = '\0';
@@ -116,7 +117,7 @@
 
 void event_write(enum event e, const char *id, const char *fmt, ...)
 {
-	char line[MAX_LINE];
+	char line[MAX_LINE_BYTES];
 	uint64_t left_out = buckets[e].left_out;
 	int n;
 	va_list ap;
@@ -140,10 +141,10 @@
 		va_end(ap);
 	}
 	/* A line cut short would not be JSON: it is left out instead. */
-	if (n + 3 >= MAX_LINE) {
+	if (n + 3 >= MAX_LINE_BYTES) {
 		COUNT(log_lines_dropped);
 		return;
 	}
 	memcpy(line + n, "}\n", 2);
-	event_put_line(line, n + 2);
+	event_write_line(line, n + 2);
 }
--- a/util/event.h
+++ b/util/event.h
@@ -65,19 +65,19 @@
 void event_setup(const char *host);
 
 /* Whether a line of this kind would be written now; takes its token. */
-bool event_due(enum event e);
+bool event_allowed(enum event e);
 
 /*
  * Write a line: an event, the id of a request or NULL, and more fields as JSON
  * members ("\"ms\":5"), which fmt must yield without a trailing comma. Call
- * only after event_due() said so.
+ * only after event_allowed() said so.
  */
 void event_write(enum event e, const char *id, const char *fmt, ...)
 	G_GNUC_PRINTF(3, 4);
 
 #define EVENT(e, id, ...)                                        \
 	do {                                                     \
-		if (event_due(EVENT_##e))                        \
+		if (event_allowed(EVENT_##e))                    \
 			event_write(EVENT_##e, id, __VA_ARGS__); \
 	} while (0)
 
@@ -91,9 +91,9 @@
  * Whether the next request should be traced: all its lines are then written,
  * not only those of its failing. A few a second are.
  */
-bool event_trace_next(void);
+bool event_should_trace(void);
 
 /* Put a whole line on standard output, or drop and count it. */
-void event_put_line(const char *line, size_t len);
+void event_write_line(const char *line, size_t len);
 
 #endif
--- a/util/recent.h
+++ b/util/fifo-cache.h
@@ -1,5 +1,5 @@
-#ifndef UTIL_RECENT_H
-#define UTIL_RECENT_H
+#ifndef UTIL_FIFO_CACHE_H
+#define UTIL_FIFO_CACHE_H
 
 #include <stdint.h>
 #include <glib.h>
@@ -8,24 +8,25 @@
  * What was seen of late, by two numbers: a table of at most so many entries
  * that drops the one added first when there is no room.
  */
-struct recent_key {
+struct fifo_cache_key {
 	uint64_t a;
 	uint64_t b;
 };
 
-struct recent {
-	GHashTable *table; /* struct recent_key -> value */
+struct fifo_cache {
+	GHashTable *table; /* struct fifo_cache_key -> value */
 	GQueue order; /* the same keys, the oldest first */
 	uint32_t max;
 };
 
-void recent_init(struct recent *r, uint32_t max);
-void recent_finish(struct recent *r);
+void fifo_cache_init(struct fifo_cache *r, uint32_t max);
+void fifo_cache_finish(struct fifo_cache *r);
 
 /* The value of a key, NULL when it is not there, or no more. */
-gpointer recent_get(const struct recent *r, uint64_t a, uint64_t b);
+gpointer fifo_cache_get(const struct fifo_cache *r, uint64_t a, uint64_t b);
 
 /* Add a value, freed with g_free() once it is dropped; the key must be new. */
-void recent_add(struct recent *r, uint64_t a, uint64_t b, gpointer value);
+void fifo_cache_add(struct fifo_cache *r, uint64_t a, uint64_t b,
+		    gpointer value);
 
 #endif
--- a/util/histogram.c
+++ b/util/histogram.c
@@ -3,13 +3,13 @@
 
 #include "util/histogram.h"
 
-struct counts {
+struct histogram_counts {
 	uint64_t at_most[HISTOGRAM_BUCKETS + 1]; /* the last one: more */
 	uint64_t n;
 	double sum_ms;
 };
 
-static struct counts all[N_HISTOGRAMS];
+static struct histogram_counts histograms[N_HISTOGRAMS];
 
 static const char *const names[] = {
 #define HISTOGRAM_NAME(name) #name,
@@ -17,7 +17,7 @@
 #undef HISTOGRAM_NAME
 };
 
-static double bound(uint32_t i)
+static double bucket_bound(uint32_t i)
 {
 	return pow(2, i / 2.0);
 }
@@ -26,9 +26,9 @@
 {
 	uint32_t i = ms <= 1 ? 0 : (uint32_t)ceil(2 * log2(ms) - 1e-9);
 
-	all[h].at_most[MIN(i, HISTOGRAM_BUCKETS)]++;
-	all[h].n++;
-	all[h].sum_ms += ms;
+	histograms[h].at_most[MIN(i, HISTOGRAM_BUCKETS)]++;
+	histograms[h].n++;
+	histograms[h].sum_ms += ms;
 }
 
 void histograms_text(GString *out)
@@ -39,17 +39,18 @@
 		uint64_t sum = 0;
 
 		for (i = 0; i < HISTOGRAM_BUCKETS; i++) {
-			sum += all[h].at_most[i];
-			if (all[h].at_most[i])
+			sum += histograms[h].at_most[i];
+			if (histograms[h].at_most[i])
 				g_string_append_printf(
 					out,
 					"%s_bucket{le=\"%.4g\"} %" PRIu64 "\n",
-					names[h], bound(i), sum);
+					names[h], bucket_bound(i), sum);
 		}
 		g_string_append_printf(out,
 				       "%s_bucket{le=\"+Inf\"} %" PRIu64
 				       "\n%s_sum %.1f\n%s_count %" PRIu64 "\n",
-				       names[h], all[h].n, names[h],
-				       all[h].sum_ms, names[h], all[h].n);
+				       names[h], histograms[h].n, names[h],
+				       histograms[h].sum_ms, names[h],
+				       histograms[h].n);
 	}
 }
--- a/util/log.c
+++ b/util/log.c
@@ -6,8 +6,8 @@
 #include "util/event.h"
 #include "util/log.h"
 
-static GLogLevelFlags lowest = G_LOG_LEVEL_INFO;
-static bool as_json;
+static GLogLevelFlags max_log_level = G_LOG_LEVEL_INFO;
+static bool use_json;
 static const char *host_name = "";
 
 static const char *level_name(GLogLevelFlags level)
@@ -23,7 +23,7 @@
 	return "debug";
 }
 
-static const char *message_of(const GLogField *fields, gsize n)
+static const char *find_message(const GLogField *fields, gsize n)
 {
 	gsize i;
 
@@ -33,19 +33,19 @@
 	return "";
 }
 
-static void write_json(const char *when, GLogLevelFlags level,
+static void write_json(const char *timestamp, GLogLevelFlags level,
 		       const char *message)
 {
 	/* Text from outside may be anything, and JSON takes UTF-8 alone. */
 	g_autofree char *valid = g_utf8_make_valid(message, -1);
-	json_t *o = json_pack("{s:s,s:s,s:s,s:s}", "time", when, "level",
+	json_t *o = json_pack("{s:s,s:s,s:s,s:s}", "time", timestamp, "level",
 			      level_name(level), "host", host_name, "message",
 			      valid);
 	char *text = json_dumps(o, JSON_COMPACT);
 	g_autofree char *line = NULL;
 
 	line = g_strconcat(text, "\n", NULL);
-	event_put_line(line, strlen(line));
+	event_write_line(line, strlen(line));
 	free(text);
 	json_decref(o);
 }
@@ -55,30 +55,30 @@
 				   gpointer user)
 {
 	g_autoptr(GDateTime) now = g_date_time_new_now_utc();
-	g_autofree char *when = g_date_time_format(now, "%FT%T.%fZ");
-	const char *message = message_of(fields, n);
+	g_autofree char *timestamp = g_date_time_format(now, "%FT%T.%fZ");
+	const char *message = find_message(fields, n);
 
 	(void)user;
-	if ((level & G_LOG_LEVEL_MASK) > lowest)
+	if ((level & G_LOG_LEVEL_MASK) > max_log_level)
 		return G_LOG_WRITER_HANDLED;
-	if (as_json)
-		write_json(when, level, message);
+	if (use_json)
+		write_json(timestamp, level, message);
 	else
-		fprintf(stderr, "%s %s %s: %s\n", when, host_name,
+		fprintf(stderr, "%s %s %s: %s\n", timestamp, host_name,
 			level_name(level), message);
 	return G_LOG_WRITER_HANDLED;
 }
 
 void log_setup(const char *level, bool json, const char *host)
 {
-	as_json = json;
+	use_json = json;
 	host_name = host;
 	if (!strcmp(level, "error"))
-		lowest = G_LOG_LEVEL_CRITICAL;
+		max_log_level = G_LOG_LEVEL_CRITICAL;
 	else if (!strcmp(level, "warning"))
-		lowest = G_LOG_LEVEL_WARNING;
+		max_log_level = G_LOG_LEVEL_WARNING;
 	else if (!strcmp(level, "debug"))
-		lowest = G_LOG_LEVEL_DEBUG;
+		max_log_level = G_LOG_LEVEL_DEBUG;
 	if (json)
 		event_setup(host);
 	g_log_set_writer_func(write_line, NULL, NULL);
