--- a/settings/changes.c
+++ b/settings/changes.c
@@ -31,7 +31,10 @@
 		   member_text(class, "host"), member_text(class, "path"));
 }
 
-/* Classes by their keys; of several under one key the last, which is served. */
+/*
+ * Returns the classes indexed by key. Where several have the same key the last
+ * one counts, as in match_index_find().
+ */
 static GHashTable *index_classes_by_key(const json_t *classes)
 {
 	GHashTable *t =
@@ -54,7 +57,7 @@
 	return json_object_get(doc, "classes");
 }
 
-/* The members that differ, but for the classes. */
+/* Returns the members of to, apart from the classes, that differ in from. */
 static json_t *changed_members(const json_t *from, const json_t *to)
 {
 	json_t *set = json_object();
@@ -83,7 +86,10 @@
 	return false;
 }
 
-/* While classes are left that go to them, services stay. */
+/*
+ * Keep the services of from in set. When some changes are left for later
+ * records, classes may remain whose requests go to services that to removes.
+ */
 static void keep_removed_services(json_t *set, const json_t *from)
 {
 	json_t *services = json_object_get(set, "services");
@@ -102,11 +108,13 @@
 	json_object_set_new(set, "services", services_of_both);
 }
 
-/* Names of fields and figures, which compress well whatever they are. */
+/* Field names and numbers of one class: they compress well in every class. */
 #define CLASS_OVERHEAD_BYTES 48
 
-/* Room for what a record carries. Something always reserve_space, so that it
- * goes on. */
+/*
+ * Space in one record. The first item always gets in, however long it is, so
+ * that each record makes progress.
+ */
 struct record_space {
 	size_t bytes;
 	size_t max_bytes;
@@ -121,7 +129,7 @@
 	return !r->full;
 }
 
-/* What a class takes in a record at most, once that is compressed. */
+/* Upper bound on the size of a class in a compressed record. */
 static size_t max_class_bytes(const json_t *class)
 {
 	const json_t *split = json_object_get(class, "split");
@@ -136,7 +144,7 @@
 	return bytes;
 }
 
-/* New and different classes. */
+/* Add the classes that are new in to or differ, as far as there is space. */
 static void add_changed_classes(json_t *out, const json_t *to,
 				GHashTable *from_classes,
 				GHashTable *to_classes,
@@ -160,6 +168,7 @@
 	g_string_free(key, TRUE);
 }
 
+/* Add the keys of the classes that to lacks, as far as there is space. */
 static void add_removed_classes(json_t *out, const json_t *from,
 				GHashTable *to_classes,
 				struct record_space *space)
@@ -199,7 +208,10 @@
 	*complete = !space.full;
 	if (space.full) {
 		keep_removed_services(set, from);
-		/* It names what operators published complete. */
+		/*
+		 * source states that the whole version of the operators is in
+		 * force, so only the last record of its changes has it.
+		 */
 		json_object_del(set, "source");
 	}
 	g_hash_table_unref(from_classes);
@@ -209,14 +221,14 @@
 			 "set", set, "classes", classes, "removed", removed);
 }
 
-/* What is done with one class that there is. */
+/* How the changes affect the class of one key. */
 struct class_edit {
-	json_t *class; /* takes its origin, NULL none does */
-	size_t changed_index; /* where it stands among those that were read */
-	bool placed;
+	json_t *class; /* the new class, NULL: removed */
+	size_t changed_index; /* position in the "classes" of the changes */
+	bool placed; /* already in the new list */
 };
 
-/* By key; an entry for each class that is removed, new or different. */
+/* Returns an edit, by key, for each class that is removed, new or changed. */
 static GHashTable *list_class_edits(const json_t *changes, struct json_check *c)
 {
 	GHashTable *t =
@@ -233,7 +245,9 @@
 		for (j = 0; j < KEY_PARTS; j++)
 			part[j] = json_string_value(json_array_get(item, j));
 		if (!part[0] || !part[1] || !part[2]) {
-			json_check_fail(c, "removed", "names no class");
+			json_check_fail(c, "removed",
+					"must list the method, host and path "
+					"of each class");
 			break;
 		}
 		format_key(key, part[0], part[1], part[2]);
@@ -261,9 +275,10 @@
 }
 
 /*
- * The classes that follow, in the order of those before. origins[i] is the
- * origin that the i-th had before, or, from n_before on, its origin among those
- * read.
+ * Returns the new list of classes. Classes that existed before keep their
+ * order, and new ones follow. origins[i] gets the origin of the i-th: below
+ * n_before an index into before, otherwise n_before plus an index into the
+ * "classes" of the changes.
  */
 static json_t *apply_class_edits(const json_t *before, const json_t *changes,
 				 GHashTable *edits, GArray *origins)
@@ -300,7 +315,7 @@
 	return after;
 }
 
-/* Read the classes that changed; the services are those of cfg. */
+/* Read the new and changed classes; their services are those of cfg. */
 static GArray *read_changed_classes(const struct configuration *cfg,
 				    const json_t *changes, struct json_check *c)
 {
@@ -319,7 +334,7 @@
 	return read;
 }
 
-/* Move what origins read before and what origins read now into the new order. */
+/* Build the classes of cfg from its old ones and read, as origins tells. */
 static void rebuild_classes(struct configuration *cfg, GArray *read,
 			    const GArray *origins)
 {
@@ -354,7 +369,10 @@
 	       (json_object_get(set, "source") ? 1 : 0);
 }
 
-/* Services and the like are few and seldom change: all is read anew then. */
+/*
+ * Read the whole document again. This is done only when members other than the
+ * classes change, such as services, which is seldom.
+ */
 static int reread_document(struct configuration *cfg, const json_t *doc,
 			   struct json_check *c)
 {
@@ -371,6 +389,7 @@
 	return err;
 }
 
+/* Read only the classes that changed. */
 static int read_classes(struct configuration *cfg, const json_t *changes,
 			const GArray *origins, struct json_check *c)
 {
@@ -395,7 +414,9 @@
 	int err = RESULT_INVALID;
 
 	if (!json_is_object(set) || (!*doc && changes_only_source(set))) {
-		json_check_fail(c, "set", "must say what there is");
+		json_check_fail(c, "set",
+				"must be an object, and not be empty in the "
+				"first changes");
 		return RESULT_INVALID;
 	}
 	origins = g_array_new(FALSE, FALSE, sizeof(size_t));
--- a/settings/configuration.c
+++ b/settings/configuration.c
@@ -8,7 +8,10 @@
 #define DEFAULT_DEADLINE_MS 2000
 #define DEFAULT_RESEND_WINDOW_MS 30000
 #define DEFAULT_GUARD_MS 500
-/* With the caller's own next tries a key's move still finds its new owner. */
+/*
+ * Together with the caller's own retries, this many attempts still reach the
+ * new owner while a key is moving.
+ */
 #define DEFAULT_ATTEMPTS 24
 #define MAX_LIMIT INT32_MAX
 
@@ -115,7 +118,7 @@
 		json_check_fail(c, path, "more shards than keys");
 	for (i = 0; i < cfg->n_services; i++)
 		if (!strcmp(cfg->services[i].name, s->name))
-			json_check_fail(c, path, "service %s stands twice",
+			json_check_fail(c, path, "service %s is defined twice",
 					s->name);
 	cfg->n_services++;
 }
@@ -311,7 +314,7 @@
 					    0, 0, CALLER_MAX_IDLE_MS);
 }
 
-/* Release what reading allocated; cfg may be read into again. */
+/* Free what configuration_read() allocated; cfg can then be used again. */
 void configuration_finish(struct configuration *cfg)
 {
 	uint32_t i;
@@ -353,7 +356,10 @@
 	return c->n_errors ? RESULT_INVALID : RESULT_OK;
 }
 
-/* Tell whether a data centre takes work; one that is not listed does. */
+/*
+ * Returns whether a data centre is in service. One that the configuration does
+ * not list is.
+ */
 bool configuration_in_service(const struct configuration *cfg,
 			      const char *data_centre)
 {
@@ -372,7 +378,7 @@
 	return match_index_find(&cfg->index, cfg->classes, method, host, path);
 }
 
-/* Find a service by name, NULL when the configuration has none of it. */
+/* Returns the service of this name, or NULL. */
 const struct service_settings *
 configuration_service(const struct configuration *cfg, const char *name)
 {
--- a/settings/configuration.h
+++ b/settings/configuration.h
@@ -11,8 +11,8 @@
 #define NAME_MAX_LEN 31
 #define NAME_FORBIDDEN_CHARS " \t\r\n/\"\\"
 /*
- * How many services, classes and data centres there may be is bounded only by
- * the record that carries them.
+ * Bounds on single values. The number of services, classes and data centres is
+ * limited only by the size of the log record that carries the configuration.
  */
 #define CLASS_TEXT_MAX_LEN 8192
 #define METHOD_MAX_LEN 15
@@ -27,9 +27,10 @@
 #define CALLER_MAX_IDLE_MS (10 * CLASS_MAX_DEADLINE_MS)
 #define ANY_METHOD "*"
 
+/* The part of a request that holds its key. */
 enum key_place {
-	KEY_NONE, /* the service is not divided by key */
-	KEY_PATH, /* a segment of the path, counted from 1 */
+	KEY_NONE, /* the service is not sharded by key */
+	KEY_PATH, /* a segment of the path, the first one is 1 */
 	KEY_QUERY, /* a query argument */
 	KEY_HEADER, /* a request header */
 };
@@ -40,19 +41,19 @@
 	char key_name[NAME_MAX_LEN + 1];
 	uint32_t key_segment;
 	/*
-	 * Keys are the whole numbers below this, and shards are ranges of
-	 * them; 0: keys are strings, and shards take them by hash.
+	 * Keys are the whole numbers below this, and each shard is a range of
+	 * them. 0: keys are strings, and their hash selects the shard.
 	 */
 	uint32_t key_numbers;
 	uint32_t n_shards;
-	bool checks_grants; /* its backend servers refuse an old fence */
-	int64_t guard_ms; /* added wait before a takeover where they do not */
-	uint32_t connections; /* that one server takes, 0 not told */
-	/* Requests a second that a server in cold start bears, 0 not told. */
+	bool checks_grants; /* its backend servers refuse outdated fences */
+	int64_t guard_ms; /* extra wait before a takeover if they do not */
+	uint32_t connections; /* most to one backend server, 0 unknown */
+	/* Requests per second for a server in cold start, 0 unknown. */
 	double cold_per_s;
 };
 
-/* One of the services between which a class's requests are split. */
+/* One of the services between which the requests of a class are split. */
 struct class_target {
 	uint32_t service; /* index into the services */
 	uint32_t weight;
@@ -62,17 +63,18 @@
 	char *name;
 	struct class_target *targets;
 	uint32_t n_targets;
-	char method[METHOD_MAX_LEN + 1]; /* ANY_METHOD: all */
-	char *host; /* of the Host header, "" any */
-	char *path; /* prefix */
+	char method[METHOD_MAX_LEN + 1]; /* or ANY_METHOD */
+	char *host; /* in the Host header, lower case; "" matches any */
+	char *path; /* prefix of the request's path */
 	int64_t target_ms;
 	double percentile;
 	double refused_share;
 	bool repeatable;
 	int64_t deadline_ms;
-	int64_t resend_window_ms; /* how long an id may be sent again */
-	uint32_t attempts; /* most backend servers one request may reach */
-	uint32_t priority; /* 0 goes first when not all can be served */
+	/* How long a request may be sent again with the same id. */
+	int64_t resend_window_ms;
+	uint32_t attempts; /* most backend servers that may get a request */
+	uint32_t priority; /* 0 is served first when there is overload */
 };
 
 struct data_centre_settings {
@@ -80,7 +82,7 @@
 	bool in_service;
 };
 
-/* What a caller may send and how long it may take; 0 means our default. */
+/* Limits on what a caller sends and how long it takes; 0: the default. */
 struct caller_limits {
 	int64_t max_header_bytes;
 	int64_t max_body_bytes;
@@ -88,7 +90,7 @@
 	int64_t idle_timeout_ms;
 };
 
-/* A whole configuration document, checked. */
+/* A configuration document that was read and checked. */
 struct configuration {
 	struct service_settings *services;
 	uint32_t n_services;
@@ -101,8 +103,9 @@
 };
 
 /*
- * Read and check a document into zeroed or finished memory. Returns RESULT_OK,
- * or RESULT_INVALID with every problem named in c. Finish cfg in either case.
+ * Read and check a document into cfg, which must not hold another one. Returns
+ * RESULT_OK, or RESULT_INVALID with every problem listed in c. Call
+ * configuration_finish() in either case.
  */
 int configuration_read(struct configuration *cfg, const json_t *doc,
 		       struct json_check *c);
@@ -111,8 +114,8 @@
 			      const char *data_centre);
 
 /*
- * The class of a request, or NULL. host: the Host header as it came, NULL when
- * there is none.
+ * Returns the class that a request belongs to, or NULL; match_index_find()
+ * tells which. host is the Host header as received, or NULL.
  */
 const struct class_settings *
 configuration_match(const struct configuration *cfg, const char *method,
--- a/settings/json-check.c
+++ b/settings/json-check.c
@@ -3,7 +3,7 @@
 
 #include "settings/json-check.h"
 
-/* Start an empty list of problems for the named file. */
+/* Start an empty list of problems; file is what they are reported for. */
 void json_check_init(struct json_check *c, const char *file)
 {
 	c->file = file;
@@ -11,7 +11,7 @@
 	c->n_errors = 0;
 }
 
-/* Release the list. */
+/* Free the list. */
 void json_check_finish(struct json_check *c)
 {
 	g_string_free(c->errors, TRUE);
@@ -40,7 +40,7 @@
 	json_check_fail(c, full, "%s", what);
 }
 
-/* Name every field of obj that is not in the NULL-terminated list. */
+/* Add a problem for each field of obj that the NULL-terminated list lacks. */
 void json_check_fields(struct json_check *c, const json_t *obj,
 		       const char *path, const char *const *allowed)
 {
@@ -54,7 +54,7 @@
 	}
 }
 
-/* Read a string of at most max_len bytes. */
+/* Read a string of at most max_len bytes. Returns "" for an invalid one. */
 const char *json_check_string(struct json_check *c, const json_t *obj,
 			      const char *path, const char *name,
 			      const char *fallback, uint32_t max_len)
@@ -77,7 +77,7 @@
 	return json_string_value(v);
 }
 
-/* Read a whole number within [min, max]. */
+/* Read a whole number in [min, max]. Returns min for an invalid one. */
 int64_t json_check_int(struct json_check *c, const json_t *obj,
 		       const char *path, const char *name, int64_t fallback,
 		       int64_t min, int64_t max)
@@ -103,7 +103,7 @@
 	return json_integer_value(v);
 }
 
-/* Read a number, whole or not, within [min, max]. */
+/* Read a number in [min, max]. Returns fallback for an invalid one. */
 double json_check_number(struct json_check *c, const json_t *obj,
 			 const char *path, const char *name, double fallback,
 			 double min, double max)
@@ -123,14 +123,14 @@
 	return json_number_value(v);
 }
 
-/* Read a share from 0 to 1. */
+/* Read a number in [0, 1]. Returns fallback for an invalid one. */
 double json_check_share(struct json_check *c, const json_t *obj,
 			const char *path, const char *name, double fallback)
 {
 	return json_check_number(c, obj, path, name, fallback, 0, 1);
 }
 
-/* Read true or false. */
+/* Read true or false. Returns fallback for anything else. */
 bool json_check_bool(struct json_check *c, const json_t *obj, const char *path,
 		     const char *name, bool fallback)
 {
--- a/settings/json-check.h
+++ b/settings/json-check.h
@@ -7,9 +7,9 @@
 #include <jansson.h>
 
 /*
- * Checked reading of JSON objects. Every problem is appended to a list as
- * "path: what is wrong", so that an operator sees all of them at once and
- * where they stand. Reads return the default when the field is absent.
+ * Checked reading of JSON objects. Each problem is appended to a list as a line
+ * "file: path: problem", so that an operator sees all of them at once and where
+ * they are. For an absent field the functions return the given fallback.
  */
 struct json_check {
 	const char *file;
@@ -37,7 +37,7 @@
 bool json_check_bool(struct json_check *c, const json_t *obj, const char *path,
 		     const char *name, bool fallback);
 
-/* A fallback that marks the field as required. */
+/* Fallbacks for required fields: an absent one is a problem. */
 #define JSON_REQUIRED_INT INT64_MIN
 #define JSON_REQUIRED_STRING NULL
 
--- a/settings/match.c
+++ b/settings/match.c
@@ -37,7 +37,10 @@
 	return g_str_has_prefix(path, k->path);
 }
 
-/* Of classes in order, each one's parent is found on the path to the last. */
+/*
+ * In the sorted order the parent of a class is the class before it or one of
+ * the ancestors of that class.
+ */
 static void link_parents(struct match_index *m,
 			 const struct class_settings *classes)
 {
@@ -77,7 +80,10 @@
 	memset(m, 0, sizeof(*m));
 }
 
-/* The last place whose host and path are not behind these. */
+/*
+ * Returns the last position in the order whose host and path sort at or before
+ * these, or MATCH_NONE.
+ */
 static uint32_t last_not_after(const struct match_index *m,
 			       const struct class_settings *classes,
 			       const char *host, const char *path)
@@ -103,8 +109,10 @@
 }
 
 /*
- * Every path that path_has_prefix the request's path_has_prefix the one found
- * as well, unless that one sorts before it, so all of them are its parents.
+ * A class whose path is a prefix of the request's path sorts at or before the
+ * last class that does not sort after the request, and its path is a prefix of
+ * that class's path as well. So all candidates are that class and its
+ * ancestors, and the longest path comes first.
  */
 static const struct class_settings *
 find_for_host(const struct match_index *m, const struct class_settings *classes,
@@ -134,7 +142,7 @@
 	g_autofree char *name = NULL;
 
 	if (host) {
-		/* The port does not count. */
+		/* Classes name hosts without a port. */
 		name = g_ascii_strdown(host, strcspn(host, ":"));
 		of_host =
 			name[0] ? find_for_host(m, classes, method, name, path)
--- a/settings/match.h
+++ b/settings/match.h
@@ -4,32 +4,38 @@
 #include <stdint.h>
 
 /*
- * Finds the class of a request by host and longest path, in a time that grows
- * with the logarithm of the number of classes.
+ * Index that finds the class of a request by its host and the longest matching
+ * path. The search time grows with the logarithm of the number of classes.
  */
 
 struct class_settings;
 
 struct match_index {
-	uint32_t *order; /* positions of the classes by host, path, method */
-	/* By place in the order: the place of the longest path that begins
-	 * this one's, MATCH_NONE there is none. */
+	uint32_t *order; /* indices of the classes by host, path, method */
+	/*
+	 * For each position in order: the position of the class of the same
+	 * host whose path is the longest prefix of this one's, or MATCH_NONE.
+	 */
 	uint32_t *parent;
 	uint32_t n;
 };
 
 #define MATCH_NONE UINT32_MAX
 
-/* Build into zeroed or finished memory; the classes must not move meanwhile. */
+/*
+ * Build the index of n classes in m, which must not hold another one. It holds
+ * indices, so it is valid only while the classes keep their order.
+ */
 void match_index_init(struct match_index *m,
 		      const struct class_settings *classes, uint32_t n);
 void match_index_finish(struct match_index *m);
 
 /*
- * The class with the longest path that begins the request's, among those of
- * its host and those of any; of equals the one that names the host, then the
- * one that names the method. NULL when there is none.
- * host: the Host header as it came, or NULL.
+ * Returns the class whose path is the longest prefix of the request's path,
+ * among the classes for its host and those for any host, or NULL if there is
+ * none. Where paths are equal, a class that names the host precedes one that
+ * does not, then one that names the method, then the one that is listed last.
+ * host is the Host header as received, or NULL.
  */
 const struct class_settings *
 match_index_find(const struct match_index *m,
--- a/settings/settings.c
+++ b/settings/settings.c
@@ -6,7 +6,7 @@
 #include "util/result.h"
 
 #define MIB (1024 * 1024)
-/* docs/design/ownership.md and docs/design/load.md give the reasons. */
+/* The reasons are in docs/design/ownership.md and docs/design/load.md. */
 #define DEFAULT_LEASE_MS 1500
 #define DEFAULT_SNAPSHOT_RECORDS 500
 #define DEFAULT_MOVE_BATCH 16
@@ -92,8 +92,9 @@
 }
 
 /*
- * A seed named by another of its ports: its peer port is the same as ours,
- * since the hosts of a fleet are set up alike.
+ * Replace the port of a seed by that of our own peer address. A seed may be
+ * listed with another of its ports, and all hosts of a fleet have the same peer
+ * port.
  */
 static void use_peer_port(struct settings *s, char *seed)
 {
@@ -186,8 +187,9 @@
 }
 
 /*
- * How the backend server is told what keys it holds. Empty is as if left out:
- * a template of settings has nothing to say where its platform names no way.
+ * Read how the backend server learns which keys it holds. An empty string
+ * counts as absent: settings that are made from a template have one here when
+ * the platform defines no way.
  */
 static void read_grants(struct json_check *c, const json_t *o,
 			struct settings *s)
--- a/settings/settings.h
+++ b/settings/settings.h
@@ -14,15 +14,15 @@
 #define SETTINGS_ADDRESS_MAX_LEN 63
 #define SETTINGS_MAX_SEEDS 16
 
-/* How nodes are spoken to: our own interface, or that of the platform. */
+/* The protocol that a node speaks: our own or that of the platform. */
 enum interface_kind {
 	INTERFACE_OWN,
 	INTERFACE_PLATFORM,
 };
 
-/* One node's settings, as read from its file. */
+/* Settings of one node, as read from its file. */
 struct settings {
-	char path[256]; /* the file itself */
+	char path[256]; /* of the settings file */
 	enum interface_kind interface;
 	const struct header_names *headers;
 	char host[64];
@@ -39,44 +39,51 @@
 	bool log_json;
 	char ready_address[SETTINGS_ADDRESS_MAX_LEN + 1]; /* "" none */
 	char announce_address[SETTINGS_ADDRESS_MAX_LEN + 1]; /* "" none */
-	/* How backend servers are told what keys they hold, NULL not at all. */
+	/* How backend servers learn which keys they hold, NULL: they do not. */
 	const struct grant_ops *grants;
-	int64_t hold_max_ms; /* longest that one such grant may last */
+	int64_t hold_max_ms; /* longest duration of one grant */
 	int64_t lease_ms;
 	/* A connection to the backend server idle for longer is not reused. */
 	int64_t kept_idle_s;
-	int64_t stop_limit_ms; /* a stop takes no longer than this */
-	uint32_t snapshot_records; /* records after which one is due */
-	uint32_t move_batch; /* shards that one balancing record moves */
+	int64_t stop_limit_ms; /* longest duration of a stop */
+	uint32_t snapshot_records; /* records after which a snapshot is due */
+	uint32_t move_batch; /* most shards that one balancing record moves */
 	/*
-	 * What a gate in another data centre costs a request, as time that its
-	 * caller would wait for one at home instead: at all, and for each KiB
-	 * of answer.
+	 * Cost of sending a request to a gate in another data centre: the
+	 * additional time that its caller would wait for a local gate instead,
+	 * for each request and for each KiB of its answer.
 	 */
 	double far_ms;
 	double far_ms_per_kb;
-	double link_mbps; /* of this host, 0 unknown */
-	double hold_share; /* of its target a request waits for an owner, 0 all
-			      its time */
-	double retry_share; /* of requests, that repeats may add */
-	double retry_reserve; /* repeats beside that, over the whole fleet */
+	double link_mbps; /* link speed of this host, 0 unknown */
+	/*
+	 * Share of its target time that a request waits for an owner of its
+	 * key, 0: until its deadline.
+	 */
+	double hold_share;
+	double retry_share; /* retries allowed, as a share of requests */
+	double retry_reserve; /* further retries, of the whole fleet */
 	int64_t max_body_bytes;
 	int64_t snapshot_interval_ms;
-	int64_t drift_ppm;
+	int64_t drift_ppm; /* bound on the difference of two clocks' rates */
 	bool hedge;
 	const struct limit_ops *limit;
 	const struct chooser_ops *choice;
-	bool test_hooks; /* allow a test to cut links */
+	bool test_hooks; /* tests may cut links */
 };
 
 /*
  * Read a settings file and check all of it. Returns RESULT_OK, or
  * RESULT_INVALID or RESULT_IO with each problem appended to errors as
- * "file: path: what is wrong".
+ * "file: path: problem".
  */
 int settings_read(struct settings *s, const char *path, GString *errors);
 
-/* Read and check a configuration document; the caller drops *doc. */
+/*
+ * Read a configuration document from a file and check it. Returns RESULT_OK
+ * with a new reference in *doc, or RESULT_INVALID or RESULT_IO with NULL in
+ * *doc and each problem appended to errors.
+ */
 int settings_read_document(const char *path, json_t **doc, GString *errors);
 
 #endif
