--- a/util/counters.c
+++ b/util/counters.c
@@ -10,13 +10,13 @@
 #undef COUNTER_NAME
 };
 
-/* Return a counter's name as it stands in the text form. */
+/* Returns the name of a counter in the text form. */
 const char *counter_name(enum counter c)
 {
 	return names[c];
 }
 
-/* Append every counter to out, one "name value" line each. */
+/* Append a line "name value" for every counter to out. */
 void counters_text(GString *out)
 {
 	int i;
--- a/util/counters.h
+++ b/util/counters.h
@@ -5,9 +5,9 @@
 #include <glib.h>
 
 /*
- * The process's counters, one line each. They only grow; rates are left to
- * whoever reads them. The text form is one "name value" pair a line. The kinds
- * of appends stand in the order of enum append_kind.
+ * Counters of the process. They only grow; a reader computes rates from them.
+ * The text form has one "name value" pair per line. The counters appends_* are
+ * in the order of enum append_kind.
  */
 #define COUNTER_LIST(X)            \
 	X(requests_received)       \
--- a/util/deflate.h
+++ b/util/deflate.h
@@ -6,14 +6,17 @@
 #include <stdint.h>
 #include <glib.h>
 
-/* Bytes made shorter by zlib, with their length before in four bytes. */
+/*
+ * Compression by zlib. The compressed form begins with the uncompressed length
+ * in four bytes, big-endian.
+ */
 
-/* Returns the short form; the caller frees it. */
+/* Returns the compressed form; the caller frees it. */
 GString *deflate_bytes(const void *data, size_t len);
 
 /*
- * The bytes that were made short, or NULL for what is no such form, or would be
- * longer than max.
+ * Returns the uncompressed bytes; the caller frees them. Returns NULL if data
+ * is not a valid compressed form or its uncompressed length is above max.
  */
 GString *inflate_bytes(const void *data, size_t len, size_t max);
 
--- a/util/event.c
+++ b/util/event.c
@@ -9,8 +9,8 @@
 #include "util/counters.h"
 #include "util/event.h"
 
-#define MAX_LINE_BYTES \
-	1024 /* below PIPE_BUF, so that a write is whole or none */
+/* Below PIPE_BUF, so that a write to a pipe is atomic. */
+#define MAX_LINE_BYTES 1024
 #define MAX_TEXT_LEN 64
 #define N_TEXTS 4
 #define TRACED_PER_S 4.0
@@ -93,8 +93,8 @@
 	struct pollfd p = { .fd = STDOUT_FILENO, .events = POLLOUT };
 
 	/*
-	 * Whoever reads the other end may be slow or stuck. Writing into a
-	 * full pipe would then stop this process with all its requests.
+	 * The reader of the pipe may be slow or stuck. A blocking write into a
+	 * full pipe would stop this process and all of its requests.
 	 */
 	if (poll(&p, 1, 0) != 1 || !(p.revents & POLLOUT) ||
 	    write(STDOUT_FILENO, line, len) < 0)
@@ -140,7 +140,7 @@
 		n += g_vsnprintf(line + n, sizeof(line) - n, fmt, ap);
 		va_end(ap);
 	}
-	/* A line cut short would not be JSON: it is left out instead. */
+	/* A truncated line would not be valid JSON, so drop it. */
 	if (n + 3 >= MAX_LINE_BYTES) {
 		COUNT(log_lines_dropped);
 		return;
--- a/util/event.h
+++ b/util/event.h
@@ -6,52 +6,53 @@
 #include <glib.h>
 
 /*
- * The events of a node, a JSON line each on standard output: what was decided
- * about a request and by which inputs, and what the process now believes. The
- * table of events and fields stands in docs/OPERATIONS.md.
+ * Events of a node, written to standard output as one JSON line each: decisions
+ * about requests with their inputs, and changes of the process's state.
+ * docs/OPERATIONS.md lists the events and their fields.
  *
- * Lines must neither slow the node down nor flood whoever keeps them. Each kind
- * has a token bucket; what it leaves out is counted and told by the next line
- * of the kind. A pipe that is full drops lines, counted too, and never blocks.
+ * Events must neither slow the node down nor flood the system that stores them.
+ * Each kind has a token bucket. Lines that it leaves out are counted, and the
+ * next line of that kind reports their number. When the output pipe is full,
+ * lines are dropped and counted; a write never blocks.
  */
-#define EVENT_LIST(X)                        \
-	/* name, lines a second, in a row */ \
-	X(started, 10, 10)                   \
-	X(stopping, 10, 10)                  \
-	X(stopped, 10, 10)                   \
-	X(reloaded, 10, 10)                  \
-	X(published, 10, 20)                 \
-	X(configuration_proposed, 10, 20)    \
-	X(configured, 10, 20)                \
-	X(configuration_refused, 10, 20)     \
-	X(store_lost, 2, 10)                 \
-	X(store_read_renewed, 2, 10)         \
-	X(store_regained, 2, 10)             \
-	X(log_recovered, 2, 10)              \
-	X(caught_up, 5, 10)                  \
-	X(current, 5, 10)                    \
-	X(server_announced, 10, 20)          \
-	X(server_leaves, 10, 20)             \
-	X(server_refused, 2, 10)             \
-	X(lease_gained, 10, 20)              \
-	X(lease_lapsed, 10, 20)              \
-	X(member_stopped, 20, 50)            \
-	X(move_unsettled, 1, 5)              \
-	X(shards_given, 5, 10)               \
-	X(request_sent, 20, 40)              \
-	X(request_answered, 20, 40)          \
-	X(request_refused, 20, 60)           \
-	X(request_unknown, 20, 60)           \
-	X(request_rejected, 5, 20)           \
-	X(request_abandoned, 5, 20)          \
-	X(gate_started, 20, 40)              \
-	X(gate_answered, 20, 40)             \
-	X(gate_cancelled, 10, 30)            \
-	X(gate_set_aside, 5, 20)             \
-	X(gate_refused, 20, 60)              \
-	X(gate_failed, 20, 60)               \
-	X(grant_in_doubt, 5, 20)             \
-	X(grant_fenced, 5, 20)               \
+#define EVENT_LIST(X)                       \
+	/* name, lines per second, burst */ \
+	X(started, 10, 10)                  \
+	X(stopping, 10, 10)                 \
+	X(stopped, 10, 10)                  \
+	X(reloaded, 10, 10)                 \
+	X(published, 10, 20)                \
+	X(configuration_proposed, 10, 20)   \
+	X(configured, 10, 20)               \
+	X(configuration_refused, 10, 20)    \
+	X(store_lost, 2, 10)                \
+	X(store_read_renewed, 2, 10)        \
+	X(store_regained, 2, 10)            \
+	X(log_recovered, 2, 10)             \
+	X(caught_up, 5, 10)                 \
+	X(current, 5, 10)                   \
+	X(server_announced, 10, 20)         \
+	X(server_leaves, 10, 20)            \
+	X(server_refused, 2, 10)            \
+	X(lease_gained, 10, 20)             \
+	X(lease_lapsed, 10, 20)             \
+	X(member_stopped, 20, 50)           \
+	X(move_unsettled, 1, 5)             \
+	X(shards_given, 5, 10)              \
+	X(request_sent, 20, 40)             \
+	X(request_answered, 20, 40)         \
+	X(request_refused, 20, 60)          \
+	X(request_unknown, 20, 60)          \
+	X(request_rejected, 5, 20)          \
+	X(request_abandoned, 5, 20)         \
+	X(gate_started, 20, 40)             \
+	X(gate_answered, 20, 40)            \
+	X(gate_cancelled, 10, 30)           \
+	X(gate_set_aside, 5, 20)            \
+	X(gate_refused, 20, 60)             \
+	X(gate_failed, 20, 60)              \
+	X(grant_in_doubt, 5, 20)            \
+	X(grant_fenced, 5, 20)              \
 	X(grant_misdirected, 5, 20)
 
 enum event {
@@ -61,16 +62,16 @@
 	N_EVENTS
 };
 
-/* Begin to write events, as host; without this call there are none. */
+/* Enable events, with the given host name. No events are written before. */
 void event_setup(const char *host);
 
-/* Whether a line of this kind would be written now; takes its token. */
+/* Returns whether the rate limit allows an event now, and takes a token. */
 bool event_allowed(enum event e);
 
 /*
- * Write a line: an event, the id of a request or NULL, and more fields as JSON
- * members ("\"ms\":5"), which fmt must yield without a trailing comma. Call
- * only after event_allowed() said so.
+ * Write an event with the id of a request, or NULL, and further fields: fmt
+ * must yield JSON members ("\"ms\":5") without a trailing comma. Call it only
+ * after event_allowed() returned true.
  */
 void event_write(enum event e, const char *id, const char *fmt, ...)
 	G_GNUC_PRINTF(3, 4);
@@ -82,18 +83,20 @@
 	} while (0)
 
 /*
- * Text from outside made safe to stand between quotes. Valid until the fourth
- * call after.
+ * Returns a copy of a text from outside that is safe inside a JSON string: it
+ * ends at the first newline or after 64 characters, and '?' replaces quotes,
+ * backslashes and unprintable characters. The copy is valid until the fourth
+ * call after this one.
  */
 const char *event_text(const char *s);
 
 /*
- * Whether the next request should be traced: all its lines are then written,
- * not only those of its failing. A few a second are.
+ * Returns whether to trace the next request, which is the case for a few per
+ * second. All events of a traced request are written, not only its failures.
  */
 bool event_should_trace(void);
 
-/* Put a whole line on standard output, or drop and count it. */
+/* Write a line to standard output, or drop and count it if that would block. */
 void event_write_line(const char *line, size_t len);
 
 #endif
--- a/util/fifo-cache.h
+++ b/util/fifo-cache.h
@@ -5,8 +5,8 @@
 #include <glib.h>
 
 /*
- * What was seen of late, by two numbers: a table of at most so many entries
- * that drops the one added first when there is no room.
+ * A table of at most max entries whose keys are pairs of numbers. When it is
+ * full, adding an entry evicts the one that was added first.
  */
 struct fifo_cache_key {
 	uint64_t a;
@@ -15,17 +15,18 @@
 
 struct fifo_cache {
 	GHashTable *table; /* struct fifo_cache_key -> value */
-	GQueue order; /* the same keys, the oldest first */
+	GQueue order; /* the same keys, in the order they were added */
 	uint32_t max;
 };
 
 void fifo_cache_init(struct fifo_cache *r, uint32_t max);
 void fifo_cache_finish(struct fifo_cache *r);
 
-/* The value of a key, NULL when it is not there, or no more. */
+/* Returns the value of a key, or NULL if it was never added or was evicted. */
 gpointer fifo_cache_get(const struct fifo_cache *r, uint64_t a, uint64_t b);
 
-/* Add a value, freed with g_free() once it is dropped; the key must be new. */
+/* Add a value, freed by g_free() on eviction. The key must not be in the table.
+ */
 void fifo_cache_add(struct fifo_cache *r, uint64_t a, uint64_t b,
 		    gpointer value);
 
--- a/util/hash.h
+++ b/util/hash.h
@@ -4,9 +4,8 @@
 #include <stdint.h>
 
 /*
- * 64-bit hashes that every node computes alike. They pick shards and rank
- * members, so they are part of what the fleet agrees on: changing one moves
- * every key.
+ * 64-bit hashes that select shards and rank members. All nodes of a fleet must
+ * compute the same values. Changing a hash function would move every key.
  */
 uint64_t hash_bytes(const void *data, uint64_t len);
 uint64_t hash_string(const char *s);
--- a/util/histogram.c
+++ b/util/histogram.c
@@ -4,7 +4,7 @@
 #include "util/histogram.h"
 
 struct histogram_counts {
-	uint64_t at_most[HISTOGRAM_BUCKETS + 1]; /* the last one: more */
+	uint64_t at_most[HISTOGRAM_BUCKETS + 1]; /* the last: above all */
 	uint64_t n;
 	double sum_ms;
 };
@@ -17,6 +17,7 @@
 #undef HISTOGRAM_NAME
 };
 
+/* Upper bound of a bucket in milliseconds. */
 static double bucket_bound(uint32_t i)
 {
 	return pow(2, i / 2.0);
--- a/util/histogram.h
+++ b/util/histogram.h
@@ -5,27 +5,28 @@
 #include <glib.h>
 
 /*
- * Latencies in fixed buckets, spaced by the square root of two from 1 ms to
- * about a minute: any quantile read from them is at most 41% too high.
+ * Histograms of latencies, with fixed buckets from 1 ms to about a minute. Each
+ * bound is the one before times the square root of two, so a quantile computed
+ * from them is at most 41% too high.
  */
 #define HISTOGRAM_BUCKETS 34
 
-/* name, what is measured in milliseconds */
+/* name, and what it measures in milliseconds */
 #define HISTOGRAM_LIST(X)                                              \
-	X(answered_ms) /* a request, from its arrival to the answer */ \
-	X(refused_ms) /* the same, to the refusal */                   \
-	X(unknown_ms) /* the same, to giving up */                     \
-	X(entry_ms) /* at the entry, until a gate was asked */         \
-	X(again_ms) /* after a gate refused, until another was */      \
-	X(queue_ms) /* at the gate, before it was begun */             \
-	X(parked_ms) /* of that, for a key on its way to the gate */   \
-	X(in_vain_ms) /* at the gate, before it was refused */         \
-	X(connect_ms) /* begun, until it had a connection */           \
+	X(answered_ms) /* a request, from arrival to the answer */     \
+	X(refused_ms) /* a request, from arrival to the refusal */     \
+	X(unknown_ms) /* a request, from arrival to outcome unknown */ \
+	X(entry_ms) /* at the entry, until sent to a gate */           \
+	X(again_ms) /* from a gate's refusal until the next send */    \
+	X(queue_ms) /* at the gate, from arrival to start */           \
+	X(parked_ms) /* part of queue_ms: waiting for a moving key */  \
+	X(in_vain_ms) /* at the gate, from arrival to refusal */       \
+	X(connect_ms) /* from start until there is a connection */     \
 	X(server_ms) /* at the backend server, with connect_ms */      \
-	X(hop_ms) /* between nodes, beyond the fastest seen */         \
-	X(cancel_ms) /* the same for what takes a request back */      \
-	X(loop_ms) /* a round of the loop, without its waiting */      \
-	X(grant_ms) /* how long grants in heartbeat answers last */    \
+	X(hop_ms) /* between nodes, beyond the least delay seen */     \
+	X(cancel_ms) /* as hop_ms, for cancellations */                \
+	X(loop_ms) /* a round of the event loop, without waiting */    \
+	X(grant_ms) /* duration of grants in heartbeat answers */      \
 	X(store_append_ms) /* an append to the log, to its answer */
 
 enum histogram {
@@ -35,9 +36,10 @@
 	N_HISTOGRAMS
 };
 
+/* Add a value in milliseconds. */
 void histogram_add(enum histogram h, double ms);
 
-/* Append all of them to out, in Prometheus' text form. */
+/* Append all histograms to out in the text format of Prometheus. */
 void histograms_text(GString *out);
 
 #define MEASURE(name, ms) histogram_add(HISTOGRAM_##name, (ms))
--- a/util/invariant.h
+++ b/util/invariant.h
@@ -4,9 +4,10 @@
 #include <glib.h>
 
 /*
- * A condition that must hold whatever the network, the log and the clocks do.
- * It stays on in production: a node that breaks one could give a key two
- * owners, and stopping that one process is the smaller harm.
+ * Abort unless a condition holds that must hold whatever the network, the log
+ * and the clocks do. The check stays on in production: a node that breaks an
+ * invariant could give a key two owners, and losing that one process does less
+ * harm.
  */
 #define INVARIANT(cond, what)                                    \
 	do {                                                     \
--- a/util/log.c
+++ b/util/log.c
@@ -36,7 +36,7 @@
 static void write_json(const char *timestamp, GLogLevelFlags level,
 		       const char *message)
 {
-	/* Text from outside may be anything, and JSON takes UTF-8 alone. */
+	/* A message may quote text from outside, and JSON must be UTF-8. */
 	g_autofree char *valid = g_utf8_make_valid(message, -1);
 	json_t *o = json_pack("{s:s,s:s,s:s,s:s}", "time", timestamp, "level",
 			      level_name(level), "host", host_name, "message",
--- a/util/log.h
+++ b/util/log.h
@@ -4,9 +4,10 @@
 #include <stdbool.h>
 
 /*
- * Send GLib's log from the named level up ("error", "warning", "info" or
- * "debug"): lines of text to standard error, or JSON objects to standard
- * output, where the events of util/event.h then go as well.
+ * Write GLib's log messages of the named level ("error", "warning", "info" or
+ * "debug") and above. With json false they are lines of text on standard error.
+ * With json true they are JSON objects on standard output, and the events of
+ * util/event.h are enabled and written there too. host must stay valid.
  */
 void log_setup(const char *level, bool json, const char *host);
 
--- a/util/result.c
+++ b/util/result.c
@@ -1,6 +1,6 @@
 #include "util/result.h"
 
-/* Return the constant name of a result code, for logs and the command line. */
+/* Returns the name of a result code in logs and on the command line. */
 const char *result_name(int code)
 {
 	static const char *const names[] = {
