--- a/builtin/audit.c
+++ b/builtin/audit.c
@@ -10,6 +10,8 @@
 
 #define FOLLOW_US 500000
 
+/* Print the changes from a position on. Returns the next position, -1 on
+ * failure. */
 static int64_t print_changes_from(const char *node, int64_t from)
 {
 	g_autofree char *path = g_strdup_printf("/audit?from=%" PRId64, from);
@@ -25,7 +27,7 @@
 	return next;
 }
 
-/* Print the trail of changes. */
+/* Print the audit trail. */
 int cmd_audit(int argc, char **argv)
 {
 	struct options o;
--- a/builtin/builtin.h
+++ b/builtin/builtin.h
@@ -4,7 +4,7 @@
 #include <stdint.h>
 #include <jansson.h>
 
-/* One subcommand; argv[0] is its name. Returns the exit status. */
+/* Runs a subcommand; argv[0] is its name. Returns the exit status. */
 typedef int (*builtin_fn)(int argc, char **argv);
 
 int cmd_run(int argc, char **argv);
--- a/builtin/check.c
+++ b/builtin/check.c
@@ -21,7 +21,7 @@
 	return err;
 }
 
-/* Check a settings or configuration file without running. */
+/* Check a settings or configuration file without running a node. */
 int cmd_check(int argc, char **argv)
 {
 	GString *errors;
--- a/builtin/client.c
+++ b/builtin/client.c
@@ -57,7 +57,7 @@
 	return RESULT_UNREACHABLE;
 }
 
-/* Release an answer. */
+/* Free the body of an answer. */
 void client_answer_finish(struct client_answer *a)
 {
 	g_string_free(a->body, TRUE);
@@ -85,6 +85,7 @@
 	return doc;
 }
 
+/* Print the outcome of a publication. Returns the exit status. */
 static int print_outcome(const struct client_answer *a)
 {
 	json_t *o = json_loadb(a->body->str, a->body->len, 0, NULL);
--- a/builtin/data-centre.c
+++ b/builtin/data-centre.c
@@ -24,7 +24,7 @@
 	return NULL;
 }
 
-/* Take a data centre out of service or bring it back. */
+/* Take a data centre out of service or put it back into service. */
 int cmd_data_centre(int argc, char **argv)
 {
 	struct options o;
--- a/builtin/declare-lost.c
+++ b/builtin/declare-lost.c
@@ -8,8 +8,8 @@
 static const char usage[] = "briargrade declare-lost [--node ADDRESS] HOST";
 
 /*
- * State that a host is lost for good, when a majority of its witnesses is lost
- * with it and nobody else can prove that it stopped.
+ * Declare a host lost for good. This is needed when a majority of its witnesses
+ * is lost with it, because no other node can then prove that it stopped.
  */
 int cmd_declare_lost(int argc, char **argv)
 {
--- a/builtin/explain.c
+++ b/builtin/explain.c
@@ -7,7 +7,7 @@
 
 static const char usage[] = "briargrade explain [--node ADDRESS] SERVICE KEY";
 
-/* Tell who serves a key, since when and why. */
+/* Print which node serves a key, since when and why. */
 int cmd_explain(int argc, char **argv)
 {
 	g_autofree char *key = NULL;
--- a/builtin/model.c
+++ b/builtin/model.c
@@ -24,7 +24,7 @@
 			    from->latencies_ms->len);
 }
 
-/* All seeds of seed_result policy, added up. */
+/* Run a policy with every seed. sum gets the total of the results. */
 static void run_policy(const struct experiment *e, const struct model_policy *p,
 		       struct model_result *sum)
 {
@@ -88,7 +88,7 @@
 	       p->name, model_earned(e, r), model_served(e, r),
 	       r->work_ms > 0 ? r->wasted_ms / r->work_ms : 0,
 	       ratio(r->offers, asked));
-	/* Apart from what a run repeats exactly. */
+	/* On standard error, since it differs between runs of one seed. */
 	fprintf(stderr, "%s: %.0f requests a second of processor time\n",
 		p->name, asked / MAX(cpu, 1e-6));
 }
@@ -136,7 +136,7 @@
 	json_decref(all);
 }
 
-/* Work out what a fleet would serve under a load, policy by policy. */
+/* Simulate which requests a fleet serves under a load, for each policy. */
 int cmd_model(int argc, char **argv)
 {
 	struct options o;
--- a/builtin/options.h
+++ b/builtin/options.h
@@ -4,7 +4,7 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-/* The options that subcommands share; each takes those that it names. */
+/* Options of the subcommands. Each subcommand allows some of them. */
 struct options {
 	const char *node;
 	const char *settings;
@@ -17,8 +17,8 @@
 	int64_t target_ms;
 	double refused_share;
 	int64_t deadline_ms;
-	int repeatable; /* -1 not given */
-	char **args; /* what is not an option */
+	int repeatable; /* -1 if not given */
+	char **args; /* the arguments that are not options */
 	int n_args;
 };
 
@@ -32,13 +32,14 @@
 #define OPTION_CLASS (1 << 7)
 
 /*
- * Read the command line by getopt_long. Returns -1 to go on, or the exit
- * status: after --help (its text printed) or a wrong option (said so).
+ * Read the command line; allowed is a set of OPTION_* flags. Returns -1 if the
+ * subcommand should run. Otherwise returns the exit status: after --help, or
+ * after an invalid option, with usage or an error printed.
  */
 int options_read(struct options *o, int argc, char **argv, uint32_t allowed,
 		 const char *usage);
 
-/* Say how the command is used; returns the exit status. */
+/* Print usage to standard error. Returns the exit status. */
 int options_usage(const char *usage);
 
 #endif
--- a/builtin/run.c
+++ b/builtin/run.c
@@ -34,7 +34,7 @@
 	return EXIT_OK;
 }
 
-/* Run a node beside its backend server until asked to stop. */
+/* Run a node beside its backend server until a signal stops it. */
 int cmd_run(int argc, char **argv)
 {
 	struct settings settings;
--- a/builtin/status.c
+++ b/builtin/status.c
@@ -58,7 +58,7 @@
 		printf("%s %lld\n", name, (long long)json_integer_value(value));
 }
 
-/* Show a node's view of the fleet. */
+/* Print the fleet's state as one node has it. */
 int cmd_status(int argc, char **argv)
 {
 	struct client_answer a;
--- a/builtin/target.c
+++ b/builtin/target.c
@@ -41,7 +41,7 @@
 				    json_boolean(o->repeatable));
 }
 
-/* Change the targets of one class of work. */
+/* Change the targets of one class. */
 int cmd_target(int argc, char **argv)
 {
 	struct options o;
--- a/builtin/trace.c
+++ b/builtin/trace.c
@@ -7,11 +7,12 @@
 #include "builtin/options.h"
 
 /*
- * One request's way through several processes, from their logs alone. Hosts'
- * clocks differ: a gate's lines carry when the entry sent the request, by the
- * entry's clock, and when it arrived, by the gate's own. The least difference
- * of the two over all lines of a host is what its clock is clock_offset, and
- * the fastest way.
+ * Collects the events of one request from the logs of several processes. The
+ * clocks of hosts differ. A gate's log line has the time at which the entry
+ * sent the request, by the entry's clock, and the time at which it arrived, by
+ * the gate's clock. The smallest difference of the two in all lines of a host
+ * is taken as the offset of that host's clock; it includes the smallest network
+ * delay.
  */
 
 static const char usage[] = "briargrade trace ID FILE...";
@@ -19,13 +20,13 @@
 struct line {
 	json_t *o;
 	const char *host;
-	int64_t at_ms; /* by the clock of the host where it began */
+	int64_t at_ms; /* by the clock of the entry's host */
 };
 
-/* The request's lines, and the difference of each host's clock. */
+/* The log lines of one request, and the offsets of the hosts' clocks. */
 struct trace {
 	GPtrArray *lines; /* struct line */
-	GHashTable *clock_offset; /* host -> int64_t */
+	GHashTable *clock_offset; /* host -> int64_t, ms */
 };
 
 static void line_free(gpointer p)
@@ -74,7 +75,7 @@
 	json_t *o;
 	struct line *l;
 
-	/* Parsing every line of a busy day would take minutes. */
+	/* Parsing every line of a large log would take minutes. */
 	if (!brace || !strstr(s, id))
 		return;
 	o = json_loads(brace, JSON_DISABLE_EOF_CHECK, NULL);
@@ -157,7 +158,7 @@
 			   ((struct line *)t->lines->pdata[0])->at_ms);
 }
 
-/* Print one request's way through the processes whose logs are given. */
+/* Print the events of one request from the given logs, in order of time. */
 int cmd_trace(int argc, char **argv)
 {
 	struct trace t;
