--- a/builtin/audit.c
+++ b/builtin/audit.c
@@ -10,8 +10,10 @@
 
 #define FOLLOW_US 500000
 
-/* Print the changes from a position on. Returns the next position, -1 on
- * failure. */
+/*
+ * Print the changes from a position on. Returns the position after them, or -1
+ * on failure.
+ */
 static int64_t print_changes_from(const char *node, int64_t from)
 {
 	g_autofree char *path = g_strdup_printf("/audit?from=%" PRId64, from);
--- a/builtin/publish.c
+++ b/builtin/publish.c
@@ -23,7 +23,7 @@
 	return 0;
 }
 
-/* Publish a configuration document from a file. */
+/* Publish a whole configuration document from a file. */
 int cmd_publish(int argc, char **argv)
 {
 	GString *errors;
--- a/settings/changes.c
+++ b/settings/changes.c
@@ -334,7 +334,10 @@
 	return read;
 }
 
-/* Build the classes of cfg from its old ones and read, as origins tells. */
+/*
+ * Build the new list of classes of cfg from its old ones and those in read;
+ * origins tells where each one comes from.
+ */
 static void rebuild_classes(struct configuration *cfg, GArray *read,
 			    const GArray *origins)
 {
--- a/settings/settings.h
+++ b/settings/settings.h
@@ -62,7 +62,7 @@
 	 */
 	double hold_share;
 	double retry_share; /* retries allowed, as a share of requests */
-	double retry_reserve; /* further retries, of the whole fleet */
+	double retry_reserve; /* further retries, over the whole fleet */
 	int64_t max_body_bytes;
 	int64_t snapshot_interval_ms;
 	int64_t drift_ppm; /* bound on the difference of two clocks' rates */
--- a/util/event.h
+++ b/util/event.h
@@ -15,44 +15,44 @@
  * next line of that kind reports their number. When the output pipe is full,
  * lines are dropped and counted; a write never blocks.
  */
-#define EVENT_LIST(X)                       \
-	/* name, lines per second, burst */ \
-	X(started, 10, 10)                  \
-	X(stopping, 10, 10)                 \
-	X(stopped, 10, 10)                  \
-	X(reloaded, 10, 10)                 \
-	X(published, 10, 20)                \
-	X(configuration_proposed, 10, 20)   \
-	X(configured, 10, 20)               \
-	X(configuration_refused, 10, 20)    \
-	X(store_lost, 2, 10)                \
-	X(store_read_renewed, 2, 10)        \
-	X(store_regained, 2, 10)            \
-	X(log_recovered, 2, 10)             \
-	X(caught_up, 5, 10)                 \
-	X(current, 5, 10)                   \
-	X(server_announced, 10, 20)         \
-	X(server_leaves, 10, 20)            \
-	X(server_refused, 2, 10)            \
-	X(lease_gained, 10, 20)             \
-	X(lease_lapsed, 10, 20)             \
-	X(member_stopped, 20, 50)           \
-	X(move_unsettled, 1, 5)             \
-	X(shards_given, 5, 10)              \
-	X(request_sent, 20, 40)             \
-	X(request_answered, 20, 40)         \
-	X(request_refused, 20, 60)          \
-	X(request_unknown, 20, 60)          \
-	X(request_rejected, 5, 20)          \
-	X(request_abandoned, 5, 20)         \
-	X(gate_started, 20, 40)             \
-	X(gate_answered, 20, 40)            \
-	X(gate_cancelled, 10, 30)           \
-	X(gate_set_aside, 5, 20)            \
-	X(gate_refused, 20, 60)             \
-	X(gate_failed, 20, 60)              \
-	X(grant_in_doubt, 5, 20)            \
-	X(grant_fenced, 5, 20)              \
+#define EVENT_LIST(X)                        \
+	/* name, lines each second, burst */ \
+	X(started, 10, 10)                   \
+	X(stopping, 10, 10)                  \
+	X(stopped, 10, 10)                   \
+	X(reloaded, 10, 10)                  \
+	X(published, 10, 20)                 \
+	X(configuration_proposed, 10, 20)    \
+	X(configured, 10, 20)                \
+	X(configuration_refused, 10, 20)     \
+	X(store_lost, 2, 10)                 \
+	X(store_read_renewed, 2, 10)         \
+	X(store_regained, 2, 10)             \
+	X(log_recovered, 2, 10)              \
+	X(caught_up, 5, 10)                  \
+	X(current, 5, 10)                    \
+	X(server_announced, 10, 20)          \
+	X(server_leaves, 10, 20)             \
+	X(server_refused, 2, 10)             \
+	X(lease_gained, 10, 20)              \
+	X(lease_lapsed, 10, 20)              \
+	X(member_stopped, 20, 50)            \
+	X(move_unsettled, 1, 5)              \
+	X(shards_given, 5, 10)               \
+	X(request_sent, 20, 40)              \
+	X(request_answered, 20, 40)          \
+	X(request_refused, 20, 60)           \
+	X(request_unknown, 20, 60)           \
+	X(request_rejected, 5, 20)           \
+	X(request_abandoned, 5, 20)          \
+	X(gate_started, 20, 40)              \
+	X(gate_answered, 20, 40)             \
+	X(gate_cancelled, 10, 30)            \
+	X(gate_set_aside, 5, 20)             \
+	X(gate_refused, 20, 60)              \
+	X(gate_failed, 20, 60)               \
+	X(grant_in_doubt, 5, 20)             \
+	X(grant_fenced, 5, 20)               \
 	X(grant_misdirected, 5, 20)
 
 enum event {
--- a/util/fifo-cache.h
+++ b/util/fifo-cache.h
@@ -19,6 +19,7 @@
 	uint32_t max;
 };
 
+/* Initialise an empty table; fifo_cache_finish() frees it with its values. */
 void fifo_cache_init(struct fifo_cache *r, uint32_t max);
 void fifo_cache_finish(struct fifo_cache *r);
 
--- a/util/invariant.h
+++ b/util/invariant.h
@@ -4,10 +4,10 @@
 #include <glib.h>
 
 /*
- * Abort unless a condition holds that must hold whatever the network, the log
- * and the clocks do. The check stays on in production: a node that breaks an
- * invariant could give a key two owners, and losing that one process does less
- * harm.
+ * Abort the process unless cond holds. Such a condition must hold whatever the
+ * network, the log and the clocks do. The check stays on in production: a node
+ * that breaks an invariant could give a key two owners, and losing that one
+ * process does less harm.
  */
 #define INVARIANT(cond, what)                                    \
 	do {                                                     \
