--- a/util/deflate.c
+++ b/util/deflate.c
@@ -13,8 +13,7 @@
 	for (i = LENGTH_BYTES - 1; i >= 0; i--)
 		g_string_append_c(out, (char)(len >> 8 * i));
 	g_string_set_size(out, LENGTH_BYTES + size);
-	/* With a buffer of compressBound() it can fail only for lack of memory.
-	 */
+	/* With a buffer this large it fails only for lack of memory. */
 	if (compress2((Bytef *)out->str + LENGTH_BYTES, &size, data, len,
 		      Z_BEST_SPEED) != Z_OK)
 		g_error("out of memory while compressing %zu bytes", len);
--- a/util/fifo-cache.h
+++ b/util/fifo-cache.h
@@ -26,8 +26,7 @@
 /* Returns the value of a key, or NULL if it was never added or was evicted. */
 gpointer fifo_cache_get(const struct fifo_cache *r, uint64_t a, uint64_t b);
 
-/* Add a value, freed by g_free() on eviction. The key must not be in the table.
- */
+/* Add a value, freed by g_free() on eviction. The key must be a new one. */
 void fifo_cache_add(struct fifo_cache *r, uint64_t a, uint64_t b,
 		    gpointer value);
 
