--- a/builtin/audit.c
+++ b/builtin/audit.c
@@ -10,13 +10,17 @@
 
 #define FOLLOW_US 500000
 
-static int64_t print_from(const char *node, int64_t from)
+/*
+ * Print the changes from a position on. Returns the position after them, or -1
+ * on failure.
+ */
+static int64_t print_changes_from(const char *node, int64_t from)
 {
 	g_autofree char *path = g_strdup_printf("/audit?from=%" PRId64, from);
 	struct client_answer a;
 	int64_t next;
 
-	if (client_ask(node, path, NULL, &a))
+	if (client_request(node, path, NULL, &a))
 		return -1;
 	fputs(a.body->str, stdout);
 	fflush(stdout);
@@ -25,7 +29,7 @@
 	return next;
 }
 
-/* Print the trail of changes. */
+/* Print the audit trail. */
 int cmd_audit(int argc, char **argv)
 {
 	struct options o;
@@ -35,10 +39,10 @@
 
 	if (status >= 0)
 		return status;
-	if (o.n_rest)
+	if (o.n_args)
 		return options_usage(usage);
 	do {
-		next = print_from(o.node, next);
+		next = print_changes_from(o.node, next);
 		if (o.follow)
 			g_usleep(FOLLOW_US);
 	} while (o.follow && next >= 0);
--- a/builtin/check.c
+++ b/builtin/check.c
@@ -21,7 +21,7 @@
 	return err;
 }
 
-/* Check a settings or configuration file without running. */
+/* Check a settings or configuration file without running a node. */
 int cmd_check(int argc, char **argv)
 {
 	GString *errors;
@@ -32,7 +32,7 @@
 
 	if (status >= 0)
 		return status;
-	if (!o.settings == !o.configuration || o.n_rest)
+	if (!o.settings == !o.configuration || o.n_args)
 		return options_usage(usage);
 	errors = g_string_new(NULL);
 	err = check(&o, errors);
--- a/builtin/run.c
+++ b/builtin/run.c
@@ -34,7 +34,7 @@
 	return EXIT_OK;
 }
 
-/* Run a node beside its backend server until asked to stop. */
+/* Run a node beside its backend server until a signal stops it. */
 int cmd_run(int argc, char **argv)
 {
 	struct settings settings;
@@ -44,7 +44,7 @@
 
 	if (status >= 0)
 		return status;
-	if (!o.settings || o.n_rest)
+	if (!o.settings || o.n_args)
 		return options_usage(usage);
 	errors = g_string_new(NULL);
 	if (settings_read(&settings, o.settings, errors)) {
--- a/builtin/status.c
+++ b/builtin/status.c
@@ -58,7 +58,7 @@
 		printf("%s %lld\n", name, (long long)json_integer_value(value));
 }
 
-/* Show a node's view of the fleet. */
+/* Print the fleet's state as one node has it. */
 int cmd_status(int argc, char **argv)
 {
 	struct client_answer a;
@@ -69,9 +69,9 @@
 
 	if (status >= 0)
 		return status;
-	if (o.n_rest)
+	if (o.n_args)
 		return options_usage(usage);
-	if (client_ask(o.node, "/status", NULL, &a))
+	if (client_request(o.node, "/status", NULL, &a))
 		return EXIT_FAILED;
 	answer = json_loadb(a.body->str, a.body->len, 0, NULL);
 	if (o.json)
--- a/node/backend.c
+++ b/node/backend.c
@@ -1,6 +1,6 @@
 #include <string.h>
 
-#include "gate/grant-beat.h"
+#include "gate/grant-heartbeat.h"
 #include "net/clock.h"
 #include "node/backend.h"
 #include "node/node.h"
@@ -42,7 +42,7 @@
 
 	g_strlcpy(b.id, a->id, sizeof(b.id));
 	g_snprintf(b.instance_id, sizeof(b.instance_id), "%s/%" G_GINT64_FORMAT,
-		   a->id, (gint64)a->born_ms);
+		   a->id, (gint64)a->started_ms);
 	gate_backend_announced(&n->gate, &b);
 	n->backend_left = false;
 	member_set_server_instance(&n->member, b.instance_id);
@@ -94,7 +94,8 @@
 	*rows = grant_heartbeat_rows(&n->gate.grants, o, with_handovers,
 				     n->settings.hold_max_ms, clock_now_ms(),
 				     hold_ms);
-	text = announce_answer(*rows, *hold_ms, MAX_ANSWER_BYTES, &n_omitted);
+	text = announce_encode_answer(*rows, *hold_ms, MAX_ANSWER_BYTES,
+				      &n_omitted);
 	*n_included = *rows ? (*rows)->len - n_omitted : 0;
 	return text;
 }
@@ -151,8 +152,8 @@
 		reply_json(r, 400, "{}");
 		goto out;
 	}
-	check = instance_on_heartbeat(&n->server_instance, a.id, a.born_ms,
-				      a.number, clock_now_ms());
+	check = instance_on_heartbeat(&n->server_instance, a.id, a.started_ms,
+				      a.heartbeat_number, clock_now_ms());
 	if (check == INSTANCE_STALE) {
 		reply_json(r, 200, "{}");
 		goto out;
@@ -164,9 +165,10 @@
 		granter_on_heartbeat(&n->granter);
 		goto out;
 	}
-	grant_heartbeat_received(&n->gate.grants, a.number, a.holds, a.released,
-				 n->settings.hold_max_ms, clock_now_ms());
-	text = answer_heartbeat(n, a.number);
+	grant_heartbeat_received(&n->gate.grants, a.heartbeat_number, a.holds,
+				 a.released, n->settings.hold_max_ms,
+				 clock_now_ms());
+	text = answer_heartbeat(n, a.heartbeat_number);
 	reply_json(r, 200, text);
 out:
 	announce_finish(&a);
@@ -178,14 +180,14 @@
 	struct node *n = user;
 	char id[ANNOUNCE_ID_MAX_LEN + 1];
 
-	switch (announce_call_of(r->method, r->path, id)) {
+	switch (announce_parse_call(r->method, r->path, id)) {
 	case ANNOUNCE_READY:
 		httpd_reply_text(r, node_is_ready(n) ? 200 : 503, "");
 		break;
 	case ANNOUNCE_HEARTBEAT:
 		on_heartbeat(n, r, id);
 		break;
-	case ANNOUNCE_LEAVE:
+	case ANNOUNCE_DEREGISTER:
 		if (!strcmp(id, n->server_instance.id))
 			on_backend_leaving(n, "has left");
 		reply_json(r, 200, "{}");
--- a/node/gate-cancel.c
+++ b/node/gate-cancel.c
@@ -61,13 +61,13 @@
 void gate_record_early_cancel(struct gate *g, const struct request_msg *m)
 {
 	if (!gate_has_early_cancel(g, m))
-		recent_add(&g->early_cancels, m->origin, m->id,
-			   g_new0(char, 1));
+		fifo_cache_add(&g->early_cancels, m->origin, m->id,
+			       g_new0(char, 1));
 }
 
 bool gate_has_early_cancel(const struct gate *g, const struct request_msg *m)
 {
-	return recent_get(&g->early_cancels, m->origin, m->id);
+	return fifo_cache_get(&g->early_cancels, m->origin, m->id);
 }
 
 static bool is_from_address(const struct gate_request *r, const char *address)
--- a/node/gate.h
+++ b/node/gate.h
@@ -13,7 +13,7 @@
 #include "net/request-msg.h"
 #include "route/balance.h"
 #include "state/fleet.h"
-#include "util/recent.h"
+#include "util/fifo-cache.h"
 
 /*
  * The gate is the only path to the backend server of this node. It admits,
@@ -78,11 +78,11 @@
 	bool in_service; /* our data centre, by the newest configuration */
 	int64_t configuration_version; /* that was applied last; -1: none */
 	GHashTable *class_indexes; /* name -> index into its classes + 1 */
-	struct recent origins; /* entry -> struct gate_origin */
+	struct fifo_cache origins; /* entry -> struct gate_origin */
 	/* No queued request is started before, see gate_pause_starts(). */
 	int64_t no_start_until_ms;
 	/* Cancels that arrived before their request, by origin and id. */
-	struct recent early_cancels;
+	struct fifo_cache early_cancels;
 	int64_t backend_alive_at_ms; /* last answer or announcement */
 	int64_t next_probe_at_ms;
 	uint32_t connect_failures; /* in a row */
--- a/node/node.h
+++ b/node/node.h
@@ -6,7 +6,7 @@
 
 #include "state/scan.h"
 #include "audit/audit.h"
-#include "gate/life.h"
+#include "gate/server-instance.h"
 #include "member/member.h"
 #include "node/entry.h"
 #include "node/gate.h"
@@ -58,10 +58,10 @@
 	struct server_instance server_instance; /* last one by heartbeat */
 	bool backend_left; /* it stopped, or is about to */
 	struct log_client operator_stream; /* where operators publish */
-	struct published operator_records;
+	struct operator_records operator_records;
 	int64_t published_offset; /* last record that changed them, -1: none */
 	/* Collected while all of the operators' stream is read, then used. */
-	struct published rescanned_operator_records;
+	struct operator_records rescanned_operator_records;
 	int64_t rescanned_offset; /* last record that changed them */
 	bool reads_operator_stream;
 	/* Records from relay_from on were read and not yet sent to followers. */
--- a/node/streams.c
+++ b/node/streams.c
@@ -176,11 +176,12 @@
 
 	n->operator_stream.next = offset + 1;
 	if (n->operator_stream.scanning) {
-		if (published_take(&n->rescanned_operator_records, id, record))
+		if (operator_records_apply(&n->rescanned_operator_records, id,
+					   record))
 			n->rescanned_offset = offset;
 		return;
 	}
-	if (published_take(&n->operator_records, id, record))
+	if (operator_records_apply(&n->operator_records, id, record))
 		n->published_offset = offset;
 }
 
@@ -195,8 +196,8 @@
 		 * from the newest records, so its removal gets the last offset
 		 * that was scanned.
 		 */
-		if (published_replace(&n->operator_records,
-				      &n->rescanned_operator_records))
+		if (operator_records_replace(&n->operator_records,
+					     &n->rescanned_operator_records))
 			n->rescanned_offset = n->operator_stream.scan_from - 1;
 		n->published_offset =
 			MAX(n->published_offset, n->rescanned_offset);
@@ -205,12 +206,13 @@
 	}
 	if (n->published_offset > n->member.published_source &&
 	    n->operator_records.config) {
-		member_set_published(&n->member, n->published_offset,
-				     published_bytes(&n->operator_records),
-				     clock_now_ms());
+		member_set_published(
+			&n->member, n->published_offset,
+			operator_records_config_bytes(&n->operator_records),
+			clock_now_ms());
 		EVENT(published, NULL, "\"source\":%" PRId64 ",\"bytes\":%u",
 		      n->published_offset,
-		      published_bytes(&n->operator_records));
+		      operator_records_config_bytes(&n->operator_records));
 	}
 	member_operator_stream_read(&n->member, clock_now_ms());
 }
@@ -219,7 +221,7 @@
 {
 	struct node *n = user;
 
-	published_clear(&n->rescanned_operator_records);
+	operator_records_clear(&n->rescanned_operator_records);
 	log_client_scan(&n->operator_stream, first);
 }
 
@@ -340,8 +342,8 @@
 	const char *address = n->settings.log;
 
 	log_scan_init(&n->scan);
-	published_init(&n->operator_records);
-	published_init(&n->rescanned_operator_records);
+	operator_records_init(&n->operator_records);
+	operator_records_init(&n->rescanned_operator_records);
 	n->published_offset = -1;
 	n->rescanned_offset = -1;
 	n->reads_operator_stream = true;
@@ -367,7 +369,7 @@
 	log_client_finish(&n->log);
 	if (n->operator_stream.ops)
 		log_client_finish(&n->operator_stream);
-	published_finish(&n->operator_records);
-	published_finish(&n->rescanned_operator_records);
+	operator_records_finish(&n->operator_records);
+	operator_records_finish(&n->rescanned_operator_records);
 	log_scan_finish(&n->scan);
 }
--- a/util/event.h
+++ b/util/event.h
@@ -6,16 +6,17 @@
 #include <glib.h>
 
 /*
- * The events of a node, a JSON line each on standard output: what was decided
- * about a request and by which inputs, and what the process now believes. The
- * table of events and fields stands in docs/OPERATIONS.md.
+ * Events of a node, written to standard output as one JSON line each: decisions
+ * about requests with their inputs, and changes of the process's state.
+ * docs/OPERATIONS.md lists the events and their fields.
  *
- * Lines must neither slow the node down nor flood whoever keeps them. Each kind
- * has a token bucket; what it leaves out is counted and told by the next line
- * of the kind. A pipe that is full drops lines, counted too, and never blocks.
+ * Events must neither slow the node down nor flood the system that stores them.
+ * Each kind has a token bucket. Lines that it leaves out are counted, and the
+ * next line of that kind reports their number. When the output pipe is full,
+ * lines are dropped and counted; a write never blocks.
  */
 #define EVENT_LIST(X)                        \
-	/* name, lines a second, in a row */ \
+	/* name, lines each second, burst */ \
 	X(started, 10, 10)                   \
 	X(stopping, 10, 10)                  \
 	X(stopped, 10, 10)                   \
@@ -61,39 +62,41 @@
 	N_EVENTS
 };
 
-/* Begin to write events, as host; without this call there are none. */
+/* Enable events, with the given host name. No events are written before. */
 void event_setup(const char *host);
 
-/* Whether a line of this kind would be written now; takes its token. */
-bool event_due(enum event e);
+/* Returns whether the rate limit allows an event now, and takes a token. */
+bool event_allowed(enum event e);
 
 /*
- * Write a line: an event, the id of a request or NULL, and more fields as JSON
- * members ("\"ms\":5"), which fmt must yield without a trailing comma. Call
- * only after event_due() said so.
+ * Write an event with the id of a request, or NULL, and further fields: fmt
+ * must yield JSON members ("\"ms\":5") without a trailing comma. Call it only
+ * after event_allowed() returned true.
  */
 void event_write(enum event e, const char *id, const char *fmt, ...)
 	G_GNUC_PRINTF(3, 4);
 
 #define EVENT(e, id, ...)                                        \
 	do {                                                     \
-		if (event_due(EVENT_##e))                        \
+		if (event_allowed(EVENT_##e))                    \
 			event_write(EVENT_##e, id, __VA_ARGS__); \
 	} while (0)
 
 /*
- * Text from outside made safe to stand between quotes. Valid until the fourth
- * call after.
+ * Returns a copy of a text from outside that is safe inside a JSON string: it
+ * ends at the first newline or after 64 characters, and '?' replaces quotes,
+ * backslashes and unprintable characters. The copy is valid until the fourth
+ * call after this one.
  */
 const char *event_text(const char *s);
 
 /*
- * Whether the next request should be traced: all its lines are then written,
- * not only those of its failing. A few a second are.
+ * Returns whether to trace the next request, which is the case for a few per
+ * second. All events of a traced request are written, not only its failures.
  */
-bool event_trace_next(void);
+bool event_should_trace(void);
 
-/* Put a whole line on standard output, or drop and count it. */
-void event_put_line(const char *line, size_t len);
+/* Write a line to standard output, or drop and count it if that would block. */
+void event_write_line(const char *line, size_t len);
 
 #endif
