--- a/t/backend-standin.c
+++ b/t/backend-standin.c
@@ -21,7 +21,7 @@
 #define MAX_BODY (8 * 1024 * 1024)
 #define OVERLOAD_FACTOR 2
 #define COLD_CAPACITY 2
-#define LOAD_LAG_MS 1000
+#define LOAD_REPORT_INTERVAL_MS 1000
 
 struct job {
 	struct httpd_request *r;
@@ -34,24 +34,24 @@
 
 static struct ev_loop *loop;
 static struct httpd httpd;
-static GQueue *waiting; /* struct job */
+static GQueue *queued_jobs; /* struct job */
 static GHashTable *ledger; /* id -> runs */
 static GHashTable *fences; /* shard -> int64_t */
 static uint32_t n_running;
 static uint64_t n_served, n_shed, n_overloads, n_cancelled, n_old_fence;
 static uint64_t most_in_cold;
-static int64_t warm_since_ms;
+static int64_t warm_up_since_ms;
 static int64_t stall_until_ms;
-static int64_t drop_next;
+static int64_t n_to_drop;
 static const char *service = "records";
 static const char *node_address;
 static int64_t slots = 20, connections = 130, probe_ms = 1, cold_ms;
 static double work_ms = 1;
-static bool check_grants = true;
+static bool check_fences = true;
 
 static int64_t capacity(void)
 {
-	int64_t age = clock_now_ms() - warm_since_ms;
+	int64_t age = clock_now_ms() - warm_up_since_ms;
 
 	if (age >= cold_ms)
 		return slots;
@@ -87,7 +87,7 @@
 	g_free(data);
 }
 
-static void answer(struct job *j)
+static void send_answer(struct job *j)
 {
 	struct httpd_request *r = j->r;
 	const char *bytes = httpd_argument(r, "bytes");
@@ -118,7 +118,7 @@
 	if (j->started)
 		n_running--;
 	else
-		g_queue_remove(waiting, j);
+		g_queue_remove(queued_jobs, j);
 	if (j->r)
 		j->r->user = NULL;
 	g_free(j);
@@ -132,12 +132,12 @@
 	(void)events;
 	if (!j->probe)
 		count_run(j->r);
-	answer(j);
+	send_answer(j);
 	job_free(j);
 	start_jobs();
 }
 
-static double work_of(const struct job *j)
+static double work_duration_ms(const struct job *j)
 {
 	int64_t stall = stall_until_ms - clock_now_ms();
 	double ms = j->probe ? probe_ms : work_ms;
@@ -151,19 +151,20 @@
 
 static void start_jobs(void)
 {
-	while (n_running < slots && waiting->length) {
-		struct job *j = g_queue_pop_head(waiting);
+	while (n_running < slots && queued_jobs->length) {
+		struct job *j = g_queue_pop_head(queued_jobs);
 
 		j->started = true;
 		n_running++;
-		if (clock_now_ms() - warm_since_ms < cold_ms)
+		if (clock_now_ms() - warm_up_since_ms < cold_ms)
 			most_in_cold = MAX(most_in_cold, n_running);
 		if (n_running > OVERLOAD_FACTOR * capacity()) {
 			/* Fallen over: it begins to warm up anew. */
 			n_overloads++;
-			warm_since_ms = clock_now_ms();
+			warm_up_since_ms = clock_now_ms();
 		}
-		ev_timer_init(&j->timer, on_job_done, work_of(j) / 1000.0, 0);
+		ev_timer_init(&j->timer, on_job_done,
+			      work_duration_ms(j) / 1000.0, 0);
 		j->timer.data = j;
 		ev_timer_start(loop, &j->timer);
 	}
@@ -176,7 +177,7 @@
 	int64_t fence = text ? g_ascii_strtoll(text, NULL, 10) : 0;
 	int64_t *seen;
 
-	if (!text || !shard || !check_grants)
+	if (!text || !shard || !check_fences)
 		return false;
 	seen = g_hash_table_lookup(fences, shard);
 	if (seen && *seen > fence) {
@@ -191,7 +192,7 @@
 	return false;
 }
 
-static void not_run(struct httpd_request *r)
+static void refuse_not_run(struct httpd_request *r)
 {
 	GPtrArray *headers = headers_new();
 
@@ -205,20 +206,20 @@
 {
 	struct job *j;
 
-	if (fence_is_old(r) || waiting->length >= (guint)slots) {
-		not_run(r);
+	if (fence_is_old(r) || queued_jobs->length >= (guint)slots) {
+		refuse_not_run(r);
 		return;
 	}
 	j = g_new0(struct job, 1);
 	j->r = r;
 	j->probe = is_probe;
-	if (!is_probe && drop_next > 0) {
-		drop_next--;
+	if (!is_probe && n_to_drop > 0) {
+		n_to_drop--;
 		j->drop = true;
 	}
 	ev_init(&j->timer, on_job_done);
 	r->user = j;
-	g_queue_push_tail(waiting, j);
+	g_queue_push_tail(queued_jobs, j);
 	start_jobs();
 }
 
@@ -261,7 +262,7 @@
 	int64_t now = clock_now_ms();
 	g_autofree char *text = NULL;
 
-	if (now - reported_ms >= LOAD_LAG_MS) {
+	if (now - reported_ms >= LOAD_REPORT_INTERVAL_MS) {
 		reported_ms = now;
 		reported = n_running;
 	}
@@ -269,7 +270,7 @@
 	httpd_reply_text(r, 200, text);
 }
 
-static void tell_node(const char *path)
+static void post_to_node(const char *path)
 {
 	json_t *o = json_pack("{s:s,s:I,s:I,s:I}", "service", service, "slots",
 			      (json_int_t)slots, "connections",
@@ -296,8 +297,8 @@
 	json_decref(o);
 }
 
-static int64_t argument(struct httpd_request *r, const char *name,
-			int64_t fallback)
+static int64_t int_argument(struct httpd_request *r, const char *name,
+			    int64_t fallback)
 {
 	const char *s = httpd_argument(r, name);
 
@@ -306,18 +307,19 @@
 
 static void on_control(struct httpd_request *r)
 {
-	if (argument(r, "stall_ms", 0))
-		stall_until_ms = clock_now_ms() + argument(r, "stall_ms", 0);
-	if (argument(r, "cold", 0))
-		warm_since_ms = clock_now_ms();
-	drop_next = argument(r, "drop", drop_next);
+	if (int_argument(r, "stall_ms", 0))
+		stall_until_ms =
+			clock_now_ms() + int_argument(r, "stall_ms", 0);
+	if (int_argument(r, "cold", 0))
+		warm_up_since_ms = clock_now_ms();
+	n_to_drop = int_argument(r, "drop", n_to_drop);
 	if (httpd_argument(r, "work_ms"))
 		work_ms = g_ascii_strtod(httpd_argument(r, "work_ms"), NULL);
 	httpd_reply_text(r, 200, "done\n");
-	if (argument(r, "leave", 0))
-		tell_node("/leave");
-	if (argument(r, "announce", 0))
-		tell_node("/announce");
+	if (int_argument(r, "leave", 0))
+		post_to_node("/leave");
+	if (int_argument(r, "announce", 0))
+		post_to_node("/announce");
 }
 
 static void on_request(void *user, struct httpd_request *r)
@@ -396,23 +398,23 @@
 			cold_ms = atoll(optarg);
 			break;
 		case 'N':
-			check_grants = false;
+			check_fences = false;
 			break;
 		default:
 			return 2;
 		}
 	}
 	loop = ev_default_loop(0);
-	waiting = g_queue_new();
+	queued_jobs = g_queue_new();
 	ledger = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
 	fences = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
-	warm_since_ms = clock_now_ms();
+	warm_up_since_ms = clock_now_ms();
 	if (httpd_init(&httpd, loop, address, MAX_BODY, &ops, NULL)) {
 		fprintf(stderr, "cannot listen on %s\n", address);
 		return 1;
 	}
 	if (node_address)
-		tell_node("/announce");
+		post_to_node("/announce");
 	ev_run(loop, 0);
 	return 0;
 }
--- a/t/load.c
+++ b/t/load.c
@@ -18,7 +18,7 @@
 
 struct call {
 	struct fetch fetch;
-	int64_t began_us;
+	int64_t started_at_us;
 	uint32_t key;
 	char id[64];
 };
@@ -33,37 +33,37 @@
 static uint32_t n_keys = 64;
 static bool with_ids;
 static const char *print_ids;
-static int64_t start_us;
+static int64_t run_started_at_us;
 static uint64_t n_sent, n_answered, n_not_run, n_unknown, n_other, n_failed;
-static uint32_t n_open;
+static uint32_t n_in_flight;
 static GArray *latencies; /* double, ms */
-static int64_t last_ok_us[MAX_KEYS], longest_gap_us[MAX_KEYS];
+static int64_t last_answered_at_us[MAX_KEYS], longest_gap_us[MAX_KEYS];
 static FILE *id_file;
 
-static void answered(struct call *c, int64_t now)
+static void record_answer(struct call *c, int64_t now)
 {
-	double ms = (now - c->began_us) / 1000.0;
-	int64_t gap = now - last_ok_us[c->key];
+	double ms = (now - c->started_at_us) / 1000.0;
+	int64_t gap = now - last_answered_at_us[c->key];
 
 	n_answered++;
 	g_array_append_val(latencies, ms);
 	longest_gap_us[c->key] = MAX(longest_gap_us[c->key], gap);
-	last_ok_us[c->key] = now;
+	last_answered_at_us[c->key] = now;
 }
 
-static void on_done(struct fetch *f, int result)
+static void on_call_done(struct fetch *f, int result)
 {
 	struct call *c = f->user;
 	const char *outcome =
 		header_find(f->answer_headers, headers_own.outcome);
 	const char *name = "failed";
 
-	n_open--;
+	n_in_flight--;
 	if (result) {
 		n_failed++;
 	} else if (f->status < 300) {
 		name = "answered";
-		answered(c, clock_now_us());
+		record_answer(c, clock_now_us());
 	} else if (outcome && !strcmp(outcome, OUTCOME_NOT_RUN)) {
 		name = OUTCOME_NOT_RUN;
 		n_not_run++;
@@ -79,30 +79,31 @@
 	g_free(c);
 }
 
-static const struct fetch_ops call_ops = { .on_done = on_done };
+static const struct fetch_ops call_ops = { .on_done = on_call_done };
 
-static void send_one(void)
+static void send_call(void)
 {
 	struct call *c = g_new0(struct call, 1);
 	const char *target = targets[(n_sent / n_keys + n_sent) % n_targets];
-	g_autofree char *where = NULL;
+	g_autofree char *call_path = NULL;
 	g_autofree char *url = NULL;
 	GPtrArray *headers = headers_new();
-	const char *mark = strstr(path, "%d");
+	const char *key_mark = strstr(path, "%d");
 
 	c->key = n_sent % n_keys;
-	where = mark ? g_strdup_printf("%.*s%u%s", (int)(mark - path), path,
-				       c->key, mark + 2)
-		     : g_strdup(path);
-	url = g_strdup_printf("http://%s%s", target, where);
+	call_path = key_mark ? g_strdup_printf("%.*s%u%s",
+					       (int)(key_mark - path), path,
+					       c->key, key_mark + 2)
+			     : g_strdup(path);
+	url = g_strdup_printf("http://%s%s", target, call_path);
 	if (with_ids) {
 		g_snprintf(c->id, sizeof(c->id), "id-%08x-%" G_GUINT64_FORMAT,
 			   g_random_int(), (guint64)n_sent);
 		header_add(headers, headers_own.idempotency, c->id);
 	}
-	c->began_us = clock_now_us();
+	c->started_at_us = clock_now_us();
 	n_sent++;
-	n_open++;
+	n_in_flight++;
 	fetch_start(&c->fetch, &fetcher, method, url, headers, "", 0,
 		    TIMEOUT_MS, false, &call_ops, c);
 	g_ptr_array_unref(headers);
@@ -110,20 +111,20 @@
 
 static void on_tick(struct ev_loop *l, ev_timer *w, int events)
 {
-	double age = (clock_now_us() - start_us) / 1e6;
+	double age = (clock_now_us() - run_started_at_us) / 1e6;
 
 	(void)events;
 	if (age >= seconds) {
-		if (!n_open || age > seconds + TIMEOUT_MS / 1000.0)
+		if (!n_in_flight || age > seconds + TIMEOUT_MS / 1000.0)
 			ev_break(l, EVBREAK_ALL);
 		return;
 	}
 	(void)w;
 	while (n_sent < age * rate)
-		send_one();
+		send_call();
 }
 
-static gint by_value(gconstpointer a, gconstpointer b)
+static gint compare_doubles(gconstpointer a, gconstpointer b)
 {
 	double x = *(const double *)a;
 	double y = *(const double *)b;
@@ -139,15 +140,17 @@
 			     (guint)(p * (latencies->len - 1)));
 }
 
-static void report(void)
+static void print_report(void)
 {
-	int64_t end = start_us + (int64_t)(seconds * 1e6);
+	int64_t run_ends_at_us = run_started_at_us + (int64_t)(seconds * 1e6);
 	int64_t worst = 0;
 	uint32_t i;
 
-	g_array_sort(latencies, by_value);
+	g_array_sort(latencies, compare_doubles);
 	for (i = 0; i < n_keys; i++)
-		worst = MAX(worst, MAX(longest_gap_us[i], end - last_ok_us[i]));
+		worst = MAX(worst,
+			    MAX(longest_gap_us[i],
+				run_ends_at_us - last_answered_at_us[i]));
 	printf("sent %" G_GUINT64_FORMAT " answered %" G_GUINT64_FORMAT
 	       " not_run %" G_GUINT64_FORMAT " unknown %" G_GUINT64_FORMAT
 	       " other %" G_GUINT64_FORMAT " failed %" G_GUINT64_FORMAT "\n",
@@ -215,13 +218,13 @@
 	loop = ev_default_loop(0);
 	fetcher_init(&fetcher, loop, 1024);
 	latencies = g_array_new(FALSE, FALSE, sizeof(double));
-	start_us = clock_now_us();
+	run_started_at_us = clock_now_us();
 	for (i = 0; i < MAX_KEYS; i++)
-		last_ok_us[i] = start_us;
+		last_answered_at_us[i] = run_started_at_us;
 	ev_timer_init(&tick, on_tick, 0, 0.001);
 	ev_timer_start(loop, &tick);
 	ev_run(loop, 0);
-	report();
+	print_report();
 	if (id_file)
 		fclose(id_file);
 	return 0;
--- a/t/log-standin.c
+++ b/t/log-standin.c
@@ -18,22 +18,22 @@
 
 struct record {
 	char *text; /* {"offset":N,"id":"...","record":{...}} */
-	int64_t at_ms;
+	int64_t appended_at_ms;
 };
 
 struct waiter {
 	struct httpd_request *r;
-	int64_t from;
+	int64_t from_offset;
 	int64_t until_ms;
 	int64_t not_before_ms;
-	bool append;
+	bool is_append;
 	int64_t offset;
 };
 
 static struct ev_loop *loop;
 static struct httpd httpd;
 static GPtrArray *records;
-static int64_t first;
+static int64_t first_offset;
 static GPtrArray *waiters;
 static bool down;
 static int64_t slow_ms;
@@ -45,21 +45,24 @@
 static void reply_read(struct httpd_request *r, int64_t from)
 {
 	GString *out = g_string_new(NULL);
-	int64_t next = first + records->len;
+	int64_t next = first_offset + records->len;
 	int64_t i;
 
 	g_string_printf(out,
 			"{\"first\":%" G_GINT64_FORMAT
 			",\"next\":%" G_GINT64_FORMAT ",\"records\":[",
-			(gint64)first, (gint64)next);
-	for (i = from; i < next && i < from + MAX_BATCH && from >= first; i++) {
-		struct record *rec = g_ptr_array_index(records, i - first);
+			(gint64)first_offset, (gint64)next);
+	for (i = from; i < next && i < from + MAX_BATCH && from >= first_offset;
+	     i++) {
+		struct record *rec =
+			g_ptr_array_index(records, i - first_offset);
 
 		g_string_append_printf(out, "%s%s", i == from ? "" : ",",
 				       rec->text);
 	}
 	g_string_append(out, "]}");
-	httpd_reply(r, from < first ? 410 : 200, NULL, out->str, out->len);
+	httpd_reply(r, from < first_offset ? 410 : 200, NULL, out->str,
+		    out->len);
 	g_string_free(out, TRUE);
 }
 
@@ -71,17 +74,17 @@
 	httpd_reply(r, 200, NULL, text, strlen(text));
 }
 
-static void wait_for(struct httpd_request *r, struct waiter w)
+static void add_waiter(struct httpd_request *r, struct waiter w)
 {
 	w.r = r;
 	r->user = g_memdup2(&w, sizeof(w));
 	g_ptr_array_add(waiters, r->user);
 }
 
-static void serve_waiters(void)
+static void answer_waiters(void)
 {
 	int64_t now = clock_now_ms();
-	int64_t next = first + records->len;
+	int64_t next = first_offset + records->len;
 	uint32_t i;
 
 	for (i = waiters->len; i-- > 0;) {
@@ -89,10 +92,10 @@
 
 		if (down || now < w->not_before_ms)
 			continue;
-		if (w->append)
+		if (w->is_append)
 			reply_append(w->r, w->offset);
-		else if (w->from < next || now >= w->until_ms)
-			reply_read(w->r, w->from);
+		else if (w->from_offset < next || now >= w->until_ms)
+			reply_read(w->r, w->from_offset);
 		else
 			continue;
 		w->r->user = NULL;
@@ -103,11 +106,11 @@
 
 static void trim(int64_t to)
 {
-	while (records->len && first < to) {
+	while (records->len && first_offset < to) {
 		g_free(((struct record *)g_ptr_array_index(records, 0))->text);
 		g_free(g_ptr_array_index(records, 0));
 		g_ptr_array_remove_index(records, 0);
-		first++;
+		first_offset++;
 	}
 }
 
@@ -116,8 +119,8 @@
 	json_t *o =
 		json_loadb((const char *)r->body->data, r->body->len, 0, NULL);
 	struct record *rec;
-	int64_t offset = first + records->len;
-	struct waiter w = { .append = true, .offset = offset };
+	int64_t offset = first_offset + records->len;
+	struct waiter w = { .is_append = true, .offset = offset };
 
 	if (!json_is_object(json_object_get(o, "record"))) {
 		json_decref(o);
@@ -127,7 +130,7 @@
 	json_object_set_new(o, "offset", json_integer(offset));
 	rec = g_new(struct record, 1);
 	rec->text = json_dumps(o, JSON_COMPACT);
-	rec->at_ms = clock_now_ms();
+	rec->appended_at_ms = clock_now_ms();
 	json_decref(o);
 	g_ptr_array_add(records, rec);
 	n_appends++;
@@ -135,14 +138,14 @@
 		lose--;
 		httpd_reply_text(r, 500, "answer lost\n");
 	} else {
-		w.not_before_ms = rec->at_ms + slow_ms;
-		wait_for(r, w);
+		w.not_before_ms = rec->appended_at_ms + slow_ms;
+		add_waiter(r, w);
 	}
-	serve_waiters();
+	answer_waiters();
 }
 
-static int64_t argument(struct httpd_request *r, const char *name,
-			int64_t fallback)
+static int64_t int_argument(struct httpd_request *r, const char *name,
+			    int64_t fallback)
 {
 	const char *s = httpd_argument(r, name);
 
@@ -151,12 +154,12 @@
 
 static void on_control(struct httpd_request *r)
 {
-	down = argument(r, "down", down);
-	slow_ms = argument(r, "slow_ms", slow_ms);
-	lose = argument(r, "lose", lose);
-	trim(argument(r, "trim", first));
+	down = int_argument(r, "down", down);
+	slow_ms = int_argument(r, "slow_ms", slow_ms);
+	lose = int_argument(r, "lose", lose);
+	trim(int_argument(r, "trim", first_offset));
 	httpd_reply_text(r, 200, "done\n");
-	serve_waiters();
+	answer_waiters();
 }
 
 static void on_stats(struct httpd_request *r)
@@ -164,8 +167,8 @@
 	g_autofree char *text = g_strdup_printf(
 		"appends %" G_GUINT64_FORMAT "\nreads %" G_GUINT64_FORMAT
 		"\nfirst %" G_GINT64_FORMAT "\nnext %" G_GINT64_FORMAT "\n",
-		(guint64)n_appends, (guint64)n_reads, (gint64)first,
-		(gint64)(first + records->len));
+		(guint64)n_appends, (guint64)n_reads, (gint64)first_offset,
+		(gint64)(first_offset + records->len));
 
 	httpd_reply_text(r, 200, text);
 }
@@ -184,14 +187,14 @@
 	} else if (!strcmp(r->path, "/append")) {
 		on_append(r);
 	} else {
-		struct waiter w = { .from = argument(r, "from", 0),
+		struct waiter w = { .from_offset = int_argument(r, "from", 0),
 				    .not_before_ms = now + slow_ms,
-				    .until_ms =
-					    now + argument(r, "wait_ms", 0) };
+				    .until_ms = now +
+						int_argument(r, "wait_ms", 0) };
 
 		n_reads++;
-		wait_for(r, w);
-		serve_waiters();
+		add_waiter(r, w);
+		answer_waiters();
 	}
 }
 
@@ -215,10 +218,11 @@
 	(void)w;
 	(void)events;
 	while (retention_ms && records->len &&
-	       now - ((struct record *)g_ptr_array_index(records, 0))->at_ms >
+	       now - ((struct record *)g_ptr_array_index(records, 0))
+				       ->appended_at_ms >
 		       retention_ms)
-		trim(first + 1);
-	serve_waiters();
+		trim(first_offset + 1);
+	answer_waiters();
 }
 
 int main(int argc, char **argv)
--- a/t/platform-server.c
+++ b/t/platform-server.c
@@ -33,15 +33,15 @@
 
 #define MAX_BODY (8 * 1024 * 1024)
 #define MAX_HEAD (1024 * 1024)
-#define BEAT_MS 200
-#define SOON_MS 20
-#define BEAT_LIMIT_MS 1000
+#define HEARTBEAT_INTERVAL_MS 200
+#define RELEASED_HEARTBEAT_DELAY_MS 20
+#define HEARTBEAT_TIMEOUT_MS 1000
 #define STATUS_MISDIRECTED 421
 #define STATUS_FENCED 409
 #define N_KEYS 65536
-#define LATE_S 1.0
-#define HOLD_LOOK_S 0.01
-#define STALL_BYTES (256 * 1024)
+#define LATE_GRANT_S 1.0
+#define HOLD_POLL_S 0.01
+#define STALLED_HALF_BYTES (256 * 1024)
 #define US_PER_MS 1000
 
 struct job {
@@ -52,21 +52,21 @@
 static struct ev_loop *loop;
 static struct httpd httpd;
 static struct fetcher fetcher;
-static struct fetch beat;
-static bool beating;
-static GString *beat_answer;
-static char *beat_body;
-static ev_timer beat_timer;
+static struct fetch heartbeat;
+static bool heartbeat_in_flight;
+static GString *heartbeat_answer;
+static char *heartbeat_body;
+static ev_timer heartbeat_timer;
 static const char *node_address, *listen_address, *own_address;
 static const char *service = "records", *data_centre = "hakata";
 static char id[32];
-static int64_t born_ms, number, beat_sent_ms;
+static int64_t started_at_ms, heartbeat_number, heartbeat_sent_at_ms;
 static bool draining, mute, by_call;
-static int64_t late, refuse, stall;
+static int64_t n_late_grants, n_to_refuse, n_to_stall;
 static double work_ms = 1;
 static int64_t hold; /* work ends once this is 0 */
-static int64_t lose, without_signature, wrong_id, cold_ms;
-static GArray *held; /* struct grant_row */
+static int64_t n_to_lose, n_unsigned, n_wrong_id, cold_ms;
+static GArray *held_rows; /* struct grant_row */
 static int64_t held_until_ms; /* all of held, by heartbeat */
 static struct held_key {
 	int64_t until_ms;
@@ -75,9 +75,9 @@
 static GString *released;
 static GPtrArray *holdings; /* lines, see above */
 static GHashTable *ledger;
-static uint64_t n_served, n_misdirected, n_cancelled, n_gave, n_lives;
+static uint64_t n_served, n_misdirected, n_cancelled, n_released, n_instances;
 
-static void note_holding(int64_t from, int64_t to, int64_t until_ms)
+static void add_holding(int64_t from, int64_t to, int64_t until_ms)
 {
 	g_ptr_array_add(
 		holdings,
@@ -87,19 +87,19 @@
 				(gint64)to, (gint64)until_ms * US_PER_MS));
 }
 
-static void start_life(void)
+static void start_instance(void)
 {
 	g_snprintf(id, sizeof(id), "i-%08x", g_random_int());
-	born_ms = g_get_real_time() / 1000 + n_lives++;
-	number = 0;
+	started_at_ms = g_get_real_time() / 1000 + n_instances++;
+	heartbeat_number = 0;
 	draining = false;
-	g_array_set_size(held, 0);
+	g_array_set_size(held_rows, 0);
 	g_string_set_size(released, 0);
 	memset(keys, 0, sizeof(keys));
-	note_holding(0, N_KEYS - 1, 0);
+	add_holding(0, N_KEYS - 1, 0);
 }
 
-static bool holds(int64_t key)
+static bool holds_key(int64_t key)
 {
 	uint32_t i;
 
@@ -108,8 +108,9 @@
 		       clock_now_ms() < keys[key].until_ms;
 	if (clock_now_ms() >= held_until_ms)
 		return false;
-	for (i = 0; i < held->len; i++) {
-		struct grant_row *r = &g_array_index(held, struct grant_row, i);
+	for (i = 0; i < held_rows->len; i++) {
+		struct grant_row *r =
+			&g_array_index(held_rows, struct grant_row, i);
 
 		if (r->from <= key && key <= r->to)
 			return true;
@@ -118,7 +119,7 @@
 }
 
 /* Neighbouring keys held under one fence, as rows. */
-static json_t *rows_by_call(void)
+static json_t *call_rows_json(void)
 {
 	json_t *list = json_array();
 	int64_t now = clock_now_ms();
@@ -145,12 +146,13 @@
 	uint32_t i;
 
 	if (by_call)
-		return rows_by_call();
+		return call_rows_json();
 	list = json_array();
 	if (clock_now_ms() >= held_until_ms)
-		g_array_set_size(held, 0);
-	for (i = 0; i < held->len; i++) {
-		struct grant_row *r = &g_array_index(held, struct grant_row, i);
+		g_array_set_size(held_rows, 0);
+	for (i = 0; i < held_rows->len; i++) {
+		struct grant_row *r =
+			&g_array_index(held_rows, struct grant_row, i);
 
 		json_array_append_new(list,
 				      json_pack("[I,I,I]", (json_int_t)r->from,
@@ -160,7 +162,7 @@
 	return list;
 }
 
-static bool listed(const GArray *rows, int64_t key)
+static bool rows_contain(const GArray *rows, int64_t key)
 {
 	uint32_t i;
 
@@ -174,24 +176,25 @@
 }
 
 /* Let go what an answer left out, with a handover for whoever comes next. */
-static bool let_go(const GArray *rows)
+static bool release_omitted(const GArray *rows)
 {
 	bool any = false;
 	uint32_t i;
 
-	for (i = 0; i < held->len; i++) {
-		struct grant_row *r = &g_array_index(held, struct grant_row, i);
+	for (i = 0; i < held_rows->len; i++) {
+		struct grant_row *r =
+			&g_array_index(held_rows, struct grant_row, i);
 		int64_t key;
 
 		for (key = r->from; key <= r->to; key++) {
 			int64_t from = key;
 
-			if (listed(rows, key))
+			if (rows_contain(rows, key))
 				continue;
-			while (key < r->to && !listed(rows, key + 1))
+			while (key < r->to && !rows_contain(rows, key + 1))
 				key++;
 			any = true;
-			n_gave++;
+			n_released++;
 			g_string_append_printf(released,
 					       "%s[%" G_GINT64_FORMAT
 					       ",%" G_GINT64_FORMAT
@@ -205,7 +208,7 @@
 	return any;
 }
 
-static GArray *read_rows(json_t *list)
+static GArray *parse_rows(json_t *list)
 {
 	GArray *rows = g_array_new(FALSE, TRUE, sizeof(struct grant_row));
 	json_t *item;
@@ -223,110 +226,113 @@
 	return rows;
 }
 
-static void note_held(void)
+static void add_held_holdings(void)
 {
 	uint32_t i;
 
-	note_holding(0, N_KEYS - 1, 0);
-	for (i = 0; i < held->len; i++) {
-		struct grant_row *r = &g_array_index(held, struct grant_row, i);
+	add_holding(0, N_KEYS - 1, 0);
+	for (i = 0; i < held_rows->len; i++) {
+		struct grant_row *r =
+			&g_array_index(held_rows, struct grant_row, i);
 
-		note_holding(r->from, r->to, held_until_ms);
+		add_holding(r->from, r->to, held_until_ms);
 	}
 }
 
-static void beat_in(int64_t ms)
+static void schedule_heartbeat(int64_t ms)
 {
-	ev_timer_stop(loop, &beat_timer);
-	ev_timer_set(&beat_timer, ms / 1000.0, 0);
-	ev_timer_start(loop, &beat_timer);
+	ev_timer_stop(loop, &heartbeat_timer);
+	ev_timer_set(&heartbeat_timer, ms / 1000.0, 0);
+	ev_timer_start(loop, &heartbeat_timer);
 }
 
-static void on_beat_done(struct fetch *f, int result)
+static void on_heartbeat_done(struct fetch *f, int result)
 {
 	json_t *o = NULL;
-	int64_t next = BEAT_MS;
+	int64_t next = HEARTBEAT_INTERVAL_MS;
 
-	beating = false;
+	heartbeat_in_flight = false;
 	if (!result && f->status == 200) {
 		g_string_set_size(released, 0);
-		o = json_loads(beat_answer->str, 0, NULL);
+		o = json_loads(heartbeat_answer->str, 0, NULL);
 	}
 	if (json_object_get(o, "holds")) {
-		GArray *rows = read_rows(json_object_get(o, "holds"));
+		GArray *rows = parse_rows(json_object_get(o, "holds"));
 
 		held_until_ms =
-			beat_sent_ms +
+			heartbeat_sent_at_ms +
 			json_integer_value(json_object_get(o, "hold_ms"));
-		if (let_go(rows))
-			next = SOON_MS;
-		g_array_unref(held);
-		held = rows;
-		note_held();
+		if (release_omitted(rows))
+			next = RELEASED_HEARTBEAT_DELAY_MS;
+		g_array_unref(held_rows);
+		held_rows = rows;
+		add_held_holdings();
 	}
 	json_decref(o);
-	g_free(beat_body);
-	beat_body = NULL;
-	beat_in(next);
+	g_free(heartbeat_body);
+	heartbeat_body = NULL;
+	schedule_heartbeat(next);
 }
 
-static bool on_beat_data(struct fetch *f, const void *data, size_t len)
+static bool on_heartbeat_data(struct fetch *f, const void *data, size_t len)
 {
 	(void)f;
-	g_string_append_len(beat_answer, data, len);
+	g_string_append_len(heartbeat_answer, data, len);
 	return true;
 }
 
-static const struct fetch_ops beat_ops = { .on_data = on_beat_data,
-					   .on_done = on_beat_done };
+static const struct fetch_ops heartbeat_ops = { .on_data = on_heartbeat_data,
+						.on_done = on_heartbeat_done };
 
-static void on_beat(struct ev_loop *l, ev_timer *w, int events)
+static void on_heartbeat(struct ev_loop *l, ev_timer *w, int events)
 {
 	g_autofree char *url = NULL;
-	g_autofree char *gone = NULL;
+	g_autofree char *released_rows = NULL;
 	json_t *o;
 
 	(void)l;
 	(void)w;
 	(void)events;
-	if (beating || mute) {
-		beat_in(BEAT_MS);
+	if (heartbeat_in_flight || mute) {
+		schedule_heartbeat(HEARTBEAT_INTERVAL_MS);
 		return;
 	}
 	o = json_pack("{s:s,s:I,s:{s:s,s:s,s:s,s:i},s:{s:s,s:I,s:i},s:o}",
-		      "address", own_address, "born", (json_int_t)born_ms,
+		      "address", own_address, "born", (json_int_t)started_at_ms,
 		      "info", "service", service, "version", "v1", "zone",
 		      data_centre, "slots", 18, "status", "state",
 		      draining ? "draining" : "ready", "seq",
-		      (json_int_t)++number, "cold_left_ms", (int)cold_ms,
-		      "holds", rows_json());
+		      (json_int_t)++heartbeat_number, "cold_left_ms",
+		      (int)cold_ms, "holds", rows_json());
 	if (by_call)
 		json_object_del(o, "holds");
-	gone = g_strdup_printf("[%s]", released->str);
+	released_rows = g_strdup_printf("[%s]", released->str);
 	if (!by_call)
-		json_object_set_new(o, "released", json_loads(gone, 0, NULL));
-	beat_body = json_dumps(o, JSON_COMPACT);
+		json_object_set_new(o, "released",
+				    json_loads(released_rows, 0, NULL));
+	heartbeat_body = json_dumps(o, JSON_COMPACT);
 	json_decref(o);
 	url = g_strdup_printf("http://%s/-/instances/%s/heartbeat",
 			      node_address, id);
-	g_string_set_size(beat_answer, 0);
-	beating = true;
-	beat_sent_ms = clock_now_ms();
-	fetch_start(&beat, &fetcher, "POST", url, NULL, beat_body,
-		    strlen(beat_body), BEAT_LIMIT_MS, false, &beat_ops, NULL);
+	g_string_set_size(heartbeat_answer, 0);
+	heartbeat_in_flight = true;
+	heartbeat_sent_at_ms = clock_now_ms();
+	fetch_start(&heartbeat, &fetcher, "POST", url, NULL, heartbeat_body,
+		    strlen(heartbeat_body), HEARTBEAT_TIMEOUT_MS, false,
+		    &heartbeat_ops, NULL);
 }
 
 /* The first half of a long answer, and never the second. */
 static void answer_half(struct httpd_request *r)
 {
 	GPtrArray *headers = headers_new();
-	g_autofree char *half = g_malloc0(STALL_BYTES);
+	g_autofree char *half = g_malloc0(STALLED_HALF_BYTES);
 
 	header_add(headers, headers_platform.attempt_id,
 		   httpd_header(r, headers_platform.attempt_id));
 	header_add(headers, headers_platform.signature, "ab.cd");
-	httpd_stream(r, 200, headers, (int64_t)2 * STALL_BYTES);
-	httpd_push(r, half, STALL_BYTES);
+	httpd_stream(r, 200, headers, (int64_t)2 * STALLED_HALF_BYTES);
+	httpd_push(r, half, STALLED_HALF_BYTES);
 	g_ptr_array_unref(headers);
 }
 
@@ -337,15 +343,15 @@
 	g_autofree char *text = NULL;
 
 	header_add(headers, headers_platform.attempt_id,
-		   wrong_id > 0 && ran ? "another"
-		   : sent	       ? sent
-				       : "");
+		   n_wrong_id > 0 && ran ? "another"
+		   : sent		 ? sent
+					 : "");
 	if (!ran)
 		header_add(headers, headers_platform.not_run, "1");
-	else if (without_signature <= 0)
+	else if (n_unsigned <= 0)
 		header_add(headers, headers_platform.signature, "ab.cd");
-	wrong_id -= ran;
-	without_signature -= ran;
+	n_wrong_id -= ran;
+	n_unsigned -= ran;
 	text = g_strdup_printf("%s %s for %s, %s set\n", r->method, r->url,
 			       httpd_header(r, headers_platform.caller_service),
 			       httpd_header(r, headers_platform.deadline_ms)
@@ -362,21 +368,21 @@
 
 	(void)events;
 	if (hold) {
-		ev_timer_set(w, HOLD_LOOK_S, 0);
+		ev_timer_set(w, HOLD_POLL_S, 0);
 		ev_timer_start(l, w);
 		return;
 	}
 	r->user = NULL;
 	g_free(j);
 	n_served++;
-	if (lose > 0) {
-		lose--;
+	if (n_to_lose > 0) {
+		n_to_lose--;
 		httpd_stream(r, 200, NULL, 10);
 		httpd_end(r, false);
 		return;
 	}
-	if (stall > 0) {
-		stall--;
+	if (n_to_stall > 0) {
+		n_to_stall--;
 		answer_half(r);
 		return;
 	}
@@ -401,7 +407,7 @@
 		g_ptr_array_unref(headers);
 		return;
 	}
-	if (key && !holds(g_ascii_strtoll(key, NULL, 10))) {
+	if (key && !holds_key(g_ascii_strtoll(key, NULL, 10))) {
 		n_misdirected++;
 		answer(r, STATUS_MISDIRECTED, false);
 		return;
@@ -465,9 +471,9 @@
 
 	for (i = 0; by_call && i < N_KEYS; i++)
 		n_keys += keys[i].until_ms > clock_now_ms();
-	for (i = 0; clock_now_ms() < held_until_ms && i < held->len; i++) {
+	for (i = 0; clock_now_ms() < held_until_ms && i < held_rows->len; i++) {
 		struct grant_row *row =
-			&g_array_index(held, struct grant_row, i);
+			&g_array_index(held_rows, struct grant_row, i);
 
 		n_keys += row->to - row->from + 1;
 	}
@@ -476,12 +482,12 @@
 		"\ncancelled %" G_GUINT64_FORMAT "\nlet_go %" G_GUINT64_FORMAT
 		"\nkeys %" G_GINT64_FORMAT "\nbeats %" G_GINT64_FORMAT "\n",
 		(guint64)n_served, (guint64)n_misdirected, (guint64)n_cancelled,
-		(guint64)n_gave, (gint64)n_keys, (gint64)number);
+		(guint64)n_released, (gint64)n_keys, (gint64)heartbeat_number);
 	httpd_reply_text(r, 200, text);
 }
 
-static int64_t argument(struct httpd_request *r, const char *name,
-			int64_t fallback)
+static int64_t int_argument(struct httpd_request *r, const char *name,
+			    int64_t fallback)
 {
 	const char *s = httpd_argument(r, name);
 
@@ -489,43 +495,43 @@
 }
 
 /* An answer to the life before is not for the next one. */
-static void drop_beat(void)
+static void cancel_heartbeat(void)
 {
-	if (!beating)
+	if (!heartbeat_in_flight)
 		return;
-	fetch_cancel(&beat);
-	g_free(beat_body);
-	beat_body = NULL;
-	beating = false;
+	fetch_cancel(&heartbeat);
+	g_free(heartbeat_body);
+	heartbeat_body = NULL;
+	heartbeat_in_flight = false;
 }
 
 static void on_control(struct httpd_request *r)
 {
-	work_ms = argument(r, "work_ms", work_ms);
-	hold = argument(r, "hold", hold);
-	lose = argument(r, "lose", lose);
-	without_signature = argument(r, "unsigned", without_signature);
-	wrong_id = argument(r, "wrong_id", wrong_id);
-	cold_ms = argument(r, "cold_ms", cold_ms);
-	mute = argument(r, "mute", mute);
-	draining = argument(r, "drain", draining);
-	late = argument(r, "late", late);
-	refuse = argument(r, "refuse", refuse);
-	stall = argument(r, "stall", stall);
-	if (argument(r, "crash", 0)) {
-		drop_beat();
-		start_life();
+	work_ms = int_argument(r, "work_ms", work_ms);
+	hold = int_argument(r, "hold", hold);
+	n_to_lose = int_argument(r, "lose", n_to_lose);
+	n_unsigned = int_argument(r, "unsigned", n_unsigned);
+	n_wrong_id = int_argument(r, "wrong_id", n_wrong_id);
+	cold_ms = int_argument(r, "cold_ms", cold_ms);
+	mute = int_argument(r, "mute", mute);
+	draining = int_argument(r, "drain", draining);
+	n_late_grants = int_argument(r, "late", n_late_grants);
+	n_to_refuse = int_argument(r, "refuse", n_to_refuse);
+	n_to_stall = int_argument(r, "stall", n_to_stall);
+	if (int_argument(r, "crash", 0)) {
+		cancel_heartbeat();
+		start_instance();
 	}
-	beat_in(0);
+	schedule_heartbeat(0);
 	httpd_reply_text(r, 200, "done\n");
 }
 
-struct order {
+struct range_call {
 	int64_t from, to, fence, until_ms;
 	ev_timer timer;
 };
 
-static bool read_order(struct httpd_request *r, struct order *o)
+static bool parse_range_call(struct httpd_request *r, struct range_call *o)
 {
 	json_t *body = json_loadb((char *)r->body->data, r->body->len, 0, NULL);
 
@@ -538,7 +544,7 @@
 	return o->from >= 0 && o->to >= o->from && o->to < N_KEYS;
 }
 
-static bool outranked(const struct order *o)
+static bool is_fenced(const struct range_call *o)
 {
 	int64_t key;
 
@@ -548,46 +554,46 @@
 	return false;
 }
 
-static void take_order(const struct order *o)
+static void apply_grant(const struct range_call *o)
 {
 	int64_t key;
 
-	note_holding(o->from, o->to, o->until_ms);
+	add_holding(o->from, o->to, o->until_ms);
 	for (key = o->from; key <= o->to; key++) {
 		keys[key].fence = o->fence;
 		keys[key].until_ms = o->until_ms;
 	}
 }
 
-static void on_late(struct ev_loop *l, ev_timer *w, int events)
+static void on_late_grant(struct ev_loop *l, ev_timer *w, int events)
 {
-	struct order *o = w->data;
+	struct range_call *o = w->data;
 
 	(void)l;
 	(void)events;
-	if (!outranked(o))
-		take_order(o);
+	if (!is_fenced(o))
+		apply_grant(o);
 	g_free(o);
 }
 
 static void on_grant(struct httpd_request *r)
 {
-	struct order *o = g_new0(struct order, 1);
+	struct range_call *o = g_new0(struct range_call, 1);
 
-	if (!read_order(r, o)) {
+	if (!parse_range_call(r, o)) {
 		httpd_reply_text(r, 400, "");
-	} else if (refuse > 0 || outranked(o)) {
-		refuse -= refuse > 0;
+	} else if (n_to_refuse > 0 || is_fenced(o)) {
+		n_to_refuse -= n_to_refuse > 0;
 		httpd_reply_text(r, STATUS_FENCED, "");
-	} else if (late > 0) {
+	} else if (n_late_grants > 0) {
 		/* The request stays open until its sender gives up. */
-		late--;
-		ev_timer_init(&o->timer, on_late, LATE_S, 0);
+		n_late_grants--;
+		ev_timer_init(&o->timer, on_late_grant, LATE_GRANT_S, 0);
 		o->timer.data = o;
 		ev_timer_start(loop, &o->timer);
 		return;
 	} else {
-		take_order(o);
+		apply_grant(o);
 		httpd_reply_text(r, 200, "");
 	}
 	g_free(o);
@@ -598,18 +604,18 @@
 	GPtrArray *headers = headers_new();
 	g_autofree char *token =
 		g_strdup_printf("%08x%08x", g_random_int() | 1, g_random_int());
-	struct order o;
+	struct range_call o;
 	int64_t key;
 	bool any = false;
 
-	if (read_order(r, &o))
+	if (parse_range_call(r, &o))
 		for (key = o.from; key <= o.to; key++) {
 			any = any || keys[key].until_ms > clock_now_ms();
 			keys[key].until_ms = 0;
 		}
 	if (any)
-		note_holding(o.from, o.to, 0);
-	n_gave += any;
+		add_holding(o.from, o.to, 0);
+	n_released += any;
 	if (any)
 		header_add(headers, "X-Mesh-Handover", token);
 	httpd_reply(r, 200, headers, "", 0);
@@ -637,7 +643,7 @@
 		on_work(r);
 }
 
-static void on_gone(void *user, struct httpd_request *r)
+static void on_cancelled(void *user, struct httpd_request *r)
 {
 	struct job *j = r->user;
 
@@ -651,8 +657,8 @@
 }
 
 static const struct httpd_ops ops = { .on_request = on_request,
-				      .on_gone = on_gone,
-				      .on_closed = on_gone };
+				      .on_gone = on_cancelled,
+				      .on_closed = on_cancelled };
 
 int main(int argc, char **argv)
 {
@@ -687,19 +693,19 @@
 		own_address = listen_address;
 	loop = ev_default_loop(0);
 	holdings = g_ptr_array_new();
-	held = g_array_new(FALSE, TRUE, sizeof(struct grant_row));
+	held_rows = g_array_new(FALSE, TRUE, sizeof(struct grant_row));
 	released = g_string_new(NULL);
-	beat_answer = g_string_new(NULL);
+	heartbeat_answer = g_string_new(NULL);
 	ledger = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
-	start_life();
+	start_instance();
 	fetcher_init(&fetcher, loop, 4);
 	if (httpd_init(&httpd, loop, listen_address, MAX_BODY, &ops, NULL)) {
 		fprintf(stderr, "cannot listen on %s\n", listen_address);
 		return 1;
 	}
 	httpd_accept_heads(&httpd, MAX_HEAD);
-	ev_init(&beat_timer, on_beat);
-	beat_in(0);
+	ev_init(&heartbeat_timer, on_heartbeat);
+	schedule_heartbeat(0);
 	ev_run(loop, 0);
 	return 0;
 }
--- a/t/platform-store.c
+++ b/t/platform-store.c
@@ -35,30 +35,30 @@
 	const char *name;
 	GPtrArray
 		*records; /* struct record, all; trimmed ones stay for newest */
-	int64_t first; /* oldest that can still be read */
+	int64_t first_offset; /* oldest that can still be read */
 };
 
 struct reader {
 	struct httpd_request *r;
 	struct topic *topic;
-	int64_t from;
+	int64_t from_offset;
 	int64_t until_ms;
 	bool deaf;
 };
 
 /* An answer on a slow way. */
-struct trickle {
+struct slow_answer {
 	struct httpd_request *r;
 	char *text;
 	size_t len;
 	size_t sent;
-	int64_t began_ms;
+	int64_t started_at_ms;
 };
 
-struct late {
+struct late_append {
 	struct topic *topic;
-	int64_t at;
-	int64_t when_ms;
+	int64_t offset;
+	int64_t due_at_ms;
 	GBytes *body;
 };
 
@@ -67,12 +67,12 @@
 static struct topic topics[] = { { "keyed.fleet", NULL, 0 },
 				 { "keyed.op", NULL, 0 } };
 static GPtrArray *readers;
-static GPtrArray *lates;
+static GPtrArray *late_appends;
 static bool down, busy, refuse, hold;
 static int64_t trickle_ms;
-static GPtrArray *slow; /* struct trickle */
-static GPtrArray *held; /* struct reader, who asked for the newest */
-static int64_t lose, late_ms;
+static GPtrArray *slow_answers; /* struct slow_answer */
+static GPtrArray *held_reads; /* struct reader, who asked for the newest */
+static int64_t n_to_lose, late_ms;
 static uint64_t n_appends, n_conflicts, n_reads, n_newest;
 
 static struct topic *find_topic(struct httpd_request *r)
@@ -86,7 +86,7 @@
 	return NULL;
 }
 
-static void put_number(GByteArray *out, uint64_t v, uint32_t n)
+static void append_big_endian(GByteArray *out, uint64_t v, uint32_t n)
 {
 	while (n--) {
 		guint8 byte = v >> 8 * n;
@@ -95,8 +95,8 @@
 	}
 }
 
-static void add(struct topic *t, const char *key, size_t key_len,
-		const void *value, size_t len)
+static void add_record(struct topic *t, const char *key, size_t key_len,
+		       const void *value, size_t len)
 {
 	struct record *rec = g_new0(struct record, 1);
 
@@ -111,25 +111,25 @@
 	GByteArray *out = g_byte_array_new();
 	int64_t i;
 
-	put_number(out, t->records->len, OFFSET_BYTES);
-	put_number(out, t->first, OFFSET_BYTES);
-	for (i = w->from; i < t->records->len; i++) {
+	append_big_endian(out, t->records->len, OFFSET_BYTES);
+	append_big_endian(out, t->first_offset, OFFSET_BYTES);
+	for (i = w->from_offset; i < t->records->len; i++) {
 		struct record *rec = g_ptr_array_index(t->records, i);
 		gsize len;
 		const void *value = g_bytes_get_data(rec->value, &len);
 		guint8 key_len = strlen(rec->key);
 
-		put_number(out, 1 + key_len + len, LENGTH_BYTES);
+		append_big_endian(out, 1 + key_len + len, LENGTH_BYTES);
 		g_byte_array_append(out, &key_len, 1);
 		g_byte_array_append(out, (guint8 *)rec->key, key_len);
 		g_byte_array_append(out, value, len);
 	}
-	httpd_reply(w->r, w->from < t->first ? 410 : 200, NULL, out->data,
-		    out->len);
+	httpd_reply(w->r, w->from_offset < t->first_offset ? 410 : 200, NULL,
+		    out->data, out->len);
 	g_byte_array_unref(out);
 }
 
-static void serve_readers(void)
+static void answer_readers(void)
 {
 	int64_t now = clock_now_ms();
 	uint32_t i;
@@ -139,8 +139,9 @@
 
 		if (down || w->deaf)
 			continue;
-		if (w->from >= w->topic->records->len &&
-		    w->from >= w->topic->first && now < w->until_ms)
+		if (w->from_offset >= w->topic->records->len &&
+		    w->from_offset >= w->topic->first_offset &&
+		    now < w->until_ms)
 			continue;
 		w->r->user = NULL;
 		reply_read(w);
@@ -149,8 +150,8 @@
 	}
 }
 
-static int64_t argument(struct httpd_request *r, const char *name,
-			int64_t fallback)
+static int64_t int_argument(struct httpd_request *r, const char *name,
+			    int64_t fallback)
 {
 	const char *s = httpd_argument(r, name);
 
@@ -158,7 +159,7 @@
 }
 
 /* Take the framed records of one append; false when they are malformed. */
-static bool take(struct topic *t, const guint8 *p, size_t left)
+static bool add_framed_records(struct topic *t, const guint8 *p, size_t left)
 {
 	while (left >= LENGTH_BYTES) {
 		size_t len = (size_t)p[0] << 24 | p[1] << 16 | p[2] << 8 | p[3];
@@ -167,7 +168,8 @@
 		left -= LENGTH_BYTES;
 		if (len > left || !len || 1 + (size_t)p[0] > len)
 			return false;
-		add(t, (const char *)p + 1, p[0], p + 1 + p[0], len - 1 - p[0]);
+		add_record(t, (const char *)p + 1, p[0], p + 1 + p[0],
+			   len - 1 - p[0]);
 		p += len;
 		left -= len;
 	}
@@ -193,7 +195,7 @@
 
 static void on_append(struct httpd_request *r, struct topic *t)
 {
-	int64_t at = argument(r, "at", t->records->len);
+	int64_t at = int_argument(r, "at", t->records->len);
 	int64_t offset = t->records->len;
 
 	if (at != offset) {
@@ -201,15 +203,15 @@
 		reply_offsets(r, 412, offset, offset);
 		return;
 	}
-	if (lose > 0 && late_ms) {
-		struct late *l = g_new0(struct late, 1);
+	if (n_to_lose > 0 && late_ms) {
+		struct late_append *l = g_new0(struct late_append, 1);
 
-		lose--;
+		n_to_lose--;
 		l->topic = t;
-		l->at = at;
-		l->when_ms = clock_now_ms() + late_ms;
+		l->offset = at;
+		l->due_at_ms = clock_now_ms() + late_ms;
 		l->body = g_bytes_new(r->body->data, r->body->len);
-		g_ptr_array_add(lates, l);
+		g_ptr_array_add(late_appends, l);
 		lose_answer(r);
 		return;
 	}
@@ -218,32 +220,32 @@
 		return;
 	}
 	n_appends++;
-	if (!take(t, r->body->data, r->body->len)) {
+	if (!add_framed_records(t, r->body->data, r->body->len)) {
 		httpd_reply_text(r, 400, "malformed\n");
-	} else if (lose > 0) {
-		lose--;
+	} else if (n_to_lose > 0) {
+		n_to_lose--;
 		lose_answer(r);
 	} else {
 		reply_offsets(r, 200, offset, t->records->len);
 	}
-	serve_readers();
+	answer_readers();
 }
 
-static void do_late(void)
+static void apply_late_appends(void)
 {
 	uint32_t i;
 
-	for (i = lates->len; i-- > 0;) {
-		struct late *l = g_ptr_array_index(lates, i);
+	for (i = late_appends->len; i-- > 0;) {
+		struct late_append *l = g_ptr_array_index(late_appends, i);
 		gsize len;
 		const void *body = g_bytes_get_data(l->body, &len);
 
-		if (clock_now_ms() < l->when_ms)
+		if (clock_now_ms() < l->due_at_ms)
 			continue;
-		if (l->at == l->topic->records->len)
-			take(l->topic, body, len);
+		if (l->offset == l->topic->records->len)
+			add_framed_records(l->topic, body, len);
 		g_bytes_unref(l->body);
-		g_ptr_array_remove_index_fast(lates, i);
+		g_ptr_array_remove_index_fast(late_appends, i);
 		g_free(l);
 	}
 }
@@ -255,14 +257,14 @@
 	n_reads++;
 	w->r = r;
 	w->topic = t;
-	w->from = argument(r, "from", 0);
-	w->until_ms = clock_now_ms() + argument(r, "wait_ms", 0);
+	w->from_offset = int_argument(r, "from", 0);
+	w->until_ms = clock_now_ms() + int_argument(r, "wait_ms", 0);
 	r->user = w;
 	g_ptr_array_add(readers, w);
-	serve_readers();
+	answer_readers();
 }
 
-static int by_key(gconstpointer a, gconstpointer b)
+static int compare_keys(gconstpointer a, gconstpointer b)
 {
 	return strcmp(*(const char *const *)a, *(const char *const *)b);
 }
@@ -291,7 +293,7 @@
 		while (g_hash_table_iter_next(&it, &key, NULL))
 			g_ptr_array_add(keys, key);
 	}
-	g_ptr_array_sort(keys, by_key);
+	g_ptr_array_sort(keys, compare_keys);
 	for (i = 0; i < keys->len; i++) {
 		const char *key = g_ptr_array_index(keys, i);
 		guint at =
@@ -299,7 +301,7 @@
 		struct record *rec = t->records->pdata[at];
 		gsize len;
 		const void *value = g_bytes_get_data(rec->value, &len);
-		g_autofree char *coded = NULL;
+		g_autofree char *value_base64 = NULL;
 
 		if (!len || (after && strcmp(key, after) <= 0))
 			continue;
@@ -307,23 +309,23 @@
 			more = true;
 			break;
 		}
-		coded = g_base64_encode(value, len);
-		json_array_append_new(items, json_pack("{s:s,s:s,s:i}", "key",
-						       key, "value", coded,
-						       "offset", (int)at));
+		value_base64 = g_base64_encode(value, len);
+		json_array_append_new(
+			items, json_pack("{s:s,s:s,s:i}", "key", key, "value",
+					 value_base64, "offset", (int)at));
 	}
 	answer = json_pack("{s:o,s:b,s:i}", "items", items, "more", more,
 			   "end_offset", (int)t->records->len);
 	text = json_dumps(answer, JSON_COMPACT);
 	if (trickle_ms && t == &topics[0]) {
-		struct trickle *w = g_new0(struct trickle, 1);
+		struct slow_answer *w = g_new0(struct slow_answer, 1);
 
 		w->r = r;
 		w->text = g_strdup(text);
 		w->len = strlen(text);
-		w->began_ms = clock_now_ms();
+		w->started_at_ms = clock_now_ms();
 		r->user = w;
-		g_ptr_array_add(slow, w);
+		g_ptr_array_add(slow_answers, w);
 		httpd_stream(r, 200, NULL, w->len);
 	} else {
 		httpd_reply(r, 200, NULL, text, strlen(text));
@@ -334,23 +336,23 @@
 	g_hash_table_unref(newest);
 }
 
-static void trickle_free(struct trickle *w)
+static void slow_answer_free(struct slow_answer *w)
 {
-	g_ptr_array_remove_fast(slow, w);
+	g_ptr_array_remove_fast(slow_answers, w);
 	g_free(w->text);
 	g_free(w);
 }
 
-static void serve_slow(void)
+static void send_slow_answers(void)
 {
 	int64_t now = clock_now_ms();
 	uint32_t i;
 
-	for (i = slow->len; i-- > 0;) {
-		struct trickle *w = g_ptr_array_index(slow, i);
-		size_t upto =
-			MIN(w->len * (now - w->began_ms) / MAX(trickle_ms, 1),
-			    w->len);
+	for (i = slow_answers->len; i-- > 0;) {
+		struct slow_answer *w = g_ptr_array_index(slow_answers, i);
+		size_t upto = MIN(w->len * (now - w->started_at_ms) /
+					  MAX(trickle_ms, 1),
+				  w->len);
 
 		httpd_push(w->r, w->text + w->sent, upto - w->sent);
 		w->sent = upto;
@@ -358,14 +360,14 @@
 			continue;
 		w->r->user = NULL;
 		httpd_end(w->r, true);
-		trickle_free(w);
+		slow_answer_free(w);
 	}
 }
 
-static void serve_held(void)
+static void answer_held_reads(void)
 {
-	while (!hold && held->len) {
-		struct reader *w = g_ptr_array_steal_index(held, 0);
+	while (!hold && held_reads->len) {
+		struct reader *w = g_ptr_array_steal_index(held_reads, 0);
 
 		w->r->user = NULL;
 		reply_newest(w->r, w->topic);
@@ -381,37 +383,37 @@
 	w->r = r;
 	w->topic = t;
 	r->user = w;
-	g_ptr_array_add(held, w);
-	serve_held();
+	g_ptr_array_add(held_reads, w);
+	answer_held_reads();
 }
 
 static void on_publish(struct httpd_request *r)
 {
 	const char *key = httpd_argument(r, "key");
 
-	add(&topics[1], key, strlen(key), r->body->data, r->body->len);
+	add_record(&topics[1], key, strlen(key), r->body->data, r->body->len);
 	httpd_reply_text(r, 200, "lies in the store\n");
-	serve_readers();
+	answer_readers();
 }
 
 static void on_control(struct httpd_request *r)
 {
 	uint32_t i;
 
-	down = argument(r, "down", down);
-	busy = argument(r, "busy", busy);
-	refuse = argument(r, "refuse", refuse);
-	hold = argument(r, "hold", hold);
-	trickle_ms = argument(r, "trickle_ms", trickle_ms);
-	lose = argument(r, "lose", lose);
-	late_ms = argument(r, "late_ms", late_ms);
-	for (i = 0; argument(r, "deaf", 0) && i < readers->len; i++)
+	down = int_argument(r, "down", down);
+	busy = int_argument(r, "busy", busy);
+	refuse = int_argument(r, "refuse", refuse);
+	hold = int_argument(r, "hold", hold);
+	trickle_ms = int_argument(r, "trickle_ms", trickle_ms);
+	n_to_lose = int_argument(r, "lose", n_to_lose);
+	late_ms = int_argument(r, "late_ms", late_ms);
+	for (i = 0; int_argument(r, "deaf", 0) && i < readers->len; i++)
 		((struct reader *)g_ptr_array_index(readers, i))->deaf = true;
-	for (i = 0; argument(r, "trim", 0) && i < G_N_ELEMENTS(topics); i++)
-		topics[i].first = topics[i].records->len;
+	for (i = 0; int_argument(r, "trim", 0) && i < G_N_ELEMENTS(topics); i++)
+		topics[i].first_offset = topics[i].records->len;
 	httpd_reply_text(r, 200, "done\n");
-	serve_readers();
-	serve_held();
+	answer_readers();
+	answer_held_reads();
 }
 
 static void on_stats(struct httpd_request *r)
@@ -460,12 +462,12 @@
 	(void)user;
 	if (!r->user)
 		return;
-	if (g_ptr_array_find(slow, r->user, NULL)) {
-		trickle_free(r->user);
+	if (g_ptr_array_find(slow_answers, r->user, NULL)) {
+		slow_answer_free(r->user);
 		return;
 	}
 	g_ptr_array_remove_fast(readers, r->user);
-	g_ptr_array_remove_fast(held, r->user);
+	g_ptr_array_remove_fast(held_reads, r->user);
 	g_free(r->user);
 }
 
@@ -477,9 +479,9 @@
 	(void)l;
 	(void)w;
 	(void)events;
-	do_late();
-	serve_slow();
-	serve_readers();
+	apply_late_appends();
+	send_slow_answers();
+	answer_readers();
 }
 
 int main(int argc, char **argv)
@@ -501,9 +503,9 @@
 	for (i = 0; i < G_N_ELEMENTS(topics); i++)
 		topics[i].records = g_ptr_array_new();
 	readers = g_ptr_array_new();
-	lates = g_ptr_array_new();
-	held = g_ptr_array_new();
-	slow = g_ptr_array_new();
+	late_appends = g_ptr_array_new();
+	held_reads = g_ptr_array_new();
+	slow_answers = g_ptr_array_new();
 	if (httpd_init(&httpd, loop, address, MAX_BODY, &ops, NULL)) {
 		fprintf(stderr, "cannot listen on %s\n", address);
 		return 1;
--- a/t/sim-faults.c
+++ b/t/sim-faults.c
@@ -5,44 +5,44 @@
 
 /* What can be done to a simulated fleet, how it is mended, and a look at it. */
 
-static double chance(struct sim *s)
+static double random_double(struct sim *s)
 {
 	return g_rand_double(s->rand);
 }
 
 /* A node asks to be a member once its server has announced itself. */
-static bool announced(const struct sim_node *nd)
+static bool server_announced(const struct sim_node *nd)
 {
-	return !sim_has_backend(nd) || nd->life_known;
+	return !sim_has_backend(nd) || nd->known_instance;
 }
 
-static void cut_random(struct sim *s, int64_t ms)
+static void cut_random_links(struct sim *s, int64_t ms)
 {
 	uint32_t a = g_rand_int_range(s->rand, 0, SIM_NODES);
-	bool whole = chance(s) < 0.5;
-	bool both = chance(s) < 0.7;
+	bool all_links = random_double(s) < 0.5;
+	bool both_ways = random_double(s) < 0.7;
 	uint32_t i;
 
 	for (i = 0; i < SIM_NODES; i++) {
-		if (!whole && chance(s) < 0.5)
+		if (!all_links && random_double(s) < 0.5)
 			continue;
-		s->cut_until[a][i] = s->now + ms;
-		if (both)
-			s->cut_until[i][a] = s->now + ms;
+		s->link_cut_until_ms[a][i] = s->now_ms + ms;
+		if (both_ways)
+			s->link_cut_until_ms[i][a] = s->now_ms + ms;
 	}
-	if (whole && chance(s) < 0.5)
-		s->nodes[a].log_cut = true;
+	if (all_links && random_double(s) < 0.5)
+		s->nodes[a].log_unreachable = true;
 }
 
-static void restart(struct sim *s, uint32_t slot)
+static void kill_or_start(struct sim *s, uint32_t slot)
 {
 	if (s->nodes[slot].up) {
 		sim_kill(s, slot);
-		if (chance(s) < 0.5)
+		if (random_double(s) < 0.5)
 			return;
 	}
-	if (chance(s) < 0.2) {
-		s->nodes[slot].boot++;
+	if (random_double(s) < 0.2) {
+		s->nodes[slot].boot_number++;
 		if (sim_has_backend(&s->nodes[slot]))
 			sim_backend_restart(&s->nodes[slot]);
 	}
@@ -50,7 +50,7 @@
 }
 
 /* Kill every process at once, and the servers if told; start all later. */
-void sim_kill_all(struct sim *s, bool servers, int64_t down_ms)
+void sim_restart_all(struct sim *s, bool servers, int64_t down_ms)
 {
 	uint32_t i;
 
@@ -67,34 +67,36 @@
 }
 
 /* Do one harm picked at random, or mend one. */
-void sim_fault(struct sim *s)
+void sim_inject_fault(struct sim *s)
 {
 	uint32_t slot = g_rand_int_range(s->rand, 0, SIM_NODES);
 	int64_t ms = g_rand_int_range(s->rand, 200, 6000);
 
 	if (s->verbose)
-		g_print("%7" G_GINT64_FORMAT " fault at %u\n", (gint64)s->now,
-			slot);
-	switch (g_rand_int_range(s->rand, 0, s->granted ? 14 : 11)) {
+		g_print("%7" G_GINT64_FORMAT " fault at %u\n",
+			(gint64)s->now_ms, slot);
+	switch (g_rand_int_range(s->rand, 0, s->uses_grants ? 14 : 11)) {
 	case 0:
 	case 1:
-		restart(s, slot);
+		kill_or_start(s, slot);
 		break;
 	case 2:
 		sim_pause(s, slot, ms);
 		break;
 	case 3:
-		cut_random(s, ms);
+		cut_random_links(s, ms);
 		break;
 	case 4:
-		s->log_down_until = s->now + ms;
+		s->log_down_until_ms = s->now_ms + ms;
 		break;
 	case 5:
-		s->nodes[slot].log_cut = !s->nodes[slot].log_cut;
+		s->nodes[slot].log_unreachable =
+			!s->nodes[slot].log_unreachable;
 		break;
 	case 6:
-		sim_configure(s, chance(s) < 0.5 ? sim_data_centres[slot % 4]
-						 : NULL);
+		sim_configure(s, random_double(s) < 0.5
+					 ? sim_data_centres[slot % 4]
+					 : NULL);
 		break;
 	case 7:
 		/* Two operators race from the same base. */
@@ -102,19 +104,19 @@
 		sim_configure(s, NULL);
 		break;
 	case 8:
-		s->nodes[slot].behind_until = s->now + 2 * ms;
+		s->nodes[slot].no_records_until_ms = s->now_ms + 2 * ms;
 		break;
 	case 9:
 		/* A move that a node behind does not hear of, then a loss. */
-		s->nodes[slot].behind_until = s->now + 2 * ms;
+		s->nodes[slot].no_records_until_ms = s->now_ms + 2 * ms;
 		sim_configure(s, sim_data_centres[(slot + 1) % 4]);
 		break;
 	case 10:
-		if (s->nodes[slot].up && announced(&s->nodes[slot]))
+		if (s->nodes[slot].up && server_announced(&s->nodes[slot]))
 			member_set_membership_wanted(
 				&s->nodes[slot].member,
 				!s->nodes[slot].member.want_member,
-				sim_local(&s->nodes[slot]));
+				sim_node_now_ms(&s->nodes[slot]));
 		break;
 	case 11:
 		if (sim_has_backend(&s->nodes[slot]))
@@ -122,10 +124,11 @@
 		break;
 	case 12:
 		if (sim_has_backend(&s->nodes[slot]))
-			s->nodes[slot].backend.next_beat = s->now + ms;
+			s->nodes[slot].backend.next_heartbeat_at_ms =
+				s->now_ms + ms;
 		break;
 	case 13:
-		sim_kill_all(s, chance(s) < 0.3, ms / 2);
+		sim_restart_all(s, random_double(s) < 0.3, ms / 2);
 		break;
 	}
 }
@@ -137,7 +140,7 @@
 static void declare_lost(struct sim *s)
 {
 	json_t *r = record_expel(0, "declared lost");
-	struct fleet *best = sim_newest(s);
+	struct fleet *best = sim_newest_state(s);
 	struct member *m;
 	uint32_t i;
 
@@ -149,25 +152,25 @@
 }
 
 /* End every fault: all up, connected and wanted, no message lost. */
-void sim_heal(struct sim *s)
+void sim_clear_faults(struct sim *s)
 {
 	uint32_t i;
 
 	s->loss = 0;
-	s->room = 0;
-	s->log_down_until = 0;
-	memset(s->cut_until, 0, sizeof(s->cut_until));
+	s->max_answer_rows = 0;
+	s->log_down_until_ms = 0;
+	memset(s->link_cut_until_ms, 0, sizeof(s->link_cut_until_ms));
 	for (i = 0; i < SIM_NODES; i++) {
 		struct sim_node *nd = &s->nodes[i];
 
-		nd->log_cut = false;
-		nd->behind_until = 0;
-		nd->paused_until = 0;
+		nd->log_unreachable = false;
+		nd->no_records_until_ms = 0;
+		nd->paused_until_ms = 0;
 		if (!nd->up)
 			sim_start(s, i);
-		else if (announced(nd))
+		else if (server_announced(nd))
 			member_set_membership_wanted(&nd->member, true,
-						     sim_local(nd));
+						     sim_node_now_ms(nd));
 	}
 	sim_configure(s, NULL);
 	sim_run(s, 5000);
@@ -192,7 +195,8 @@
 void sim_append_move(struct sim *s, uint32_t shard, int64_t owner,
 		     int64_t successor)
 {
-	struct fleet_service *sv = fleet_service(sim_newest(s), "records");
+	struct fleet_service *sv =
+		fleet_service(sim_newest_state(s), "records");
 	json_t *r = record_move("records", 0, "test");
 
 	record_move_add(r, shard, owner, successor, sv->shards[shard].fence);
@@ -207,7 +211,7 @@
 }
 
 /* Print who holds what, for a failing seed. */
-void sim_print(struct sim *s)
+void sim_print_nodes(struct sim *s)
 {
 	uint32_t i, j;
 
--- a/t/sim.c
+++ b/t/sim.c
@@ -6,34 +6,35 @@
 #include "util/result.h"
 
 #define N_SHARDS 12
-#define ANSWER_LATE_MS 700
+#define LOST_ANSWER_RETRY_MS 700
 /* As in node/streams.c. */
-#define READ_WHEN_BEHIND_MS 200
+#define BEHIND_READ_DELAY_MS 200
 
 const char *const sim_data_centres[SIM_DATA_CENTRES] = { "hakata", "tenjin",
 							 "kurume", "kitakyu" };
 
-int64_t sim_local(const struct sim_node *nd)
+int64_t sim_node_now_ms(const struct sim_node *nd)
 {
-	return nd->clock_base + (int64_t)(nd->sim->now * nd->rate);
+	return nd->clock_base_ms + (int64_t)(nd->sim->now_ms * nd->clock_rate);
 }
 
 /* Whether the node stands beside a server that holds by grants. */
 bool sim_has_backend(const struct sim_node *nd)
 {
-	return nd->sim->granted && nd->slot < SIM_KEYED;
+	return nd->sim->uses_grants && nd->slot < SIM_KEYED;
 }
 
-static double chance(struct sim *s)
+static double random_double(struct sim *s)
 {
 	return g_rand_double(s->rand);
 }
 
-static void put(struct sim *s, uint32_t slot, GByteArray *data, int64_t delay)
+static void queue_packet(struct sim *s, uint32_t slot, GByteArray *data,
+			 int64_t delay)
 {
 	struct sim_packet *p = g_new(struct sim_packet, 1);
 
-	p->at = s->now + delay;
+	p->arrives_at_ms = s->now_ms + delay;
 	p->data = g_byte_array_ref(data);
 	g_queue_push_tail(s->nodes[slot].inbox, p);
 }
@@ -66,17 +67,17 @@
 	int slot = slot_of_member(s, nd, to);
 	GByteArray *data;
 
-	if (slot < 0 || s->cut_until[nd->slot][slot] > s->now ||
-	    chance(s) < s->loss)
+	if (slot < 0 || s->link_cut_until_ms[nd->slot][slot] > s->now_ms ||
+	    random_double(s) < s->loss)
 		return;
 	if ((msg->type == MSG_RECORDS || msg->type == MSG_STATE) &&
-	    s->nodes[slot].behind_until > s->now)
+	    s->nodes[slot].no_records_until_ms > s->now_ms)
 		return;
 	data = g_byte_array_new();
 	member_msg_encode(msg, data);
-	put(s, slot, data, 1 + g_rand_int_range(s->rand, 0, 30));
-	if (s->loss > 0 && chance(s) < 0.05)
-		put(s, slot, data, g_rand_int_range(s->rand, 1, 4000));
+	queue_packet(s, slot, data, 1 + g_rand_int_range(s->rand, 0, 30));
+	if (s->loss > 0 && random_double(s) < 0.05)
+		queue_packet(s, slot, data, g_rand_int_range(s->rand, 1, 4000));
 	g_byte_array_unref(data);
 }
 
@@ -87,7 +88,7 @@
 	r->id = g_strdup(id);
 	r->record = json_incref(record);
 	g_ptr_array_add(s->log, r);
-	s->appends++;
+	s->n_appends++;
 }
 
 static void op_append(void *user, enum append_kind kind, json_t *record)
@@ -95,25 +96,25 @@
 	struct sim_node *nd = user;
 	struct sim *s = nd->sim;
 	struct sim_append *a = g_new0(struct sim_append, 1);
-	bool down = s->log_down_until > s->now || nd->log_cut;
-	g_autofree char *id =
-		g_strdup_printf("%u-%" G_GUINT64_FORMAT, nd->slot, s->appends);
+	bool down = s->log_down_until_ms > s->now_ms || nd->log_unreachable;
+	g_autofree char *id = g_strdup_printf("%u-%" G_GUINT64_FORMAT, nd->slot,
+					      s->n_appends);
 
-	a->at = s->now + 10;
+	a->answer_at_ms = s->now_ms + 10;
 	a->slot = nd->slot;
-	a->process = s->process[nd->slot];
+	a->process_number = s->process_number[nd->slot];
 	a->kind = kind;
 	a->result = down ? RESULT_UNREACHABLE : RESULT_OK;
 	if (!down) {
 		sim_add_record(s, id, record);
-		if (s->loss > 0 && chance(s) < 0.1) {
+		if (s->loss > 0 && random_double(s) < 0.1) {
 			/* The answer is lost; the writer appends again. */
 			sim_add_record(s, id, record);
-			a->at += ANSWER_LATE_MS;
+			a->answer_at_ms += LOST_ANSWER_RETRY_MS;
 		}
 	}
 	json_decref(record);
-	g_queue_push_tail(s->answers, a);
+	g_queue_push_tail(s->append_answers, a);
 }
 
 static uint32_t op_in_flight(void *user, uint32_t shard)
@@ -124,8 +125,8 @@
 		return ((!nd->grants.heartbeat_seen || !nd->grants.n_shards) &&
 			!(nd->sim->disabled_rules &
 			  RULE_SERVER_REPORTS_FIRST)) ||
-		       grants_may_hold(&nd->grants, shard, sim_local(nd));
-	return nd->busy_until[shard] > nd->sim->now;
+		       grants_may_hold(&nd->grants, shard, sim_node_now_ms(nd));
+	return nd->busy_until_ms[shard] > nd->sim->now_ms;
 }
 
 static void op_export(void *user, uint32_t shard, GArray *out)
@@ -156,7 +157,7 @@
 	if (nd->sim->verbose)
 		g_print("%7" G_GINT64_FORMAT " node %u (%" G_GINT64_FORMAT
 			") %s %" G_GINT64_FORMAT "\n",
-			(gint64)nd->sim->now, nd->slot,
+			(gint64)nd->sim->now_ms, nd->slot,
 			(gint64)nd->member.self_id, what, (gint64)subject);
 }
 
@@ -180,32 +181,35 @@
 	memset(&me, 0, sizeof(me));
 	g_snprintf(me.host, sizeof(me.host), "h%u", slot);
 	g_snprintf(me.peer, sizeof(me.peer), "127.0.0.1:%u", 9000 + slot);
-	g_snprintf(me.boot_id, sizeof(me.boot_id), "b%u-%u", slot, nd->boot);
+	g_snprintf(me.boot_id, sizeof(me.boot_id), "b%u-%u", slot,
+		   nd->boot_number);
 	g_strlcpy(me.data_centre, sim_data_centres[slot % 4],
 		  sizeof(me.data_centre));
 	g_strlcpy(me.service, slot < 5 ? "records" : "archive",
 		  sizeof(me.service));
 	timing.snapshot_records = 60;
 	/* Heartbeats come every 0.87 s, so leases are longer there. */
-	if (s->granted)
+	if (s->uses_grants)
 		timing.lease_ms = 3000;
-	member_init(&nd->member, &me, &timing, &ops, nd, sim_local(nd),
+	member_init(&nd->member, &me, &timing, &ops, nd, sim_node_now_ms(nd),
 		    g_rand_int(s->rand));
 	nd->member.disabled_rules = s->disabled_rules;
 	nd->up = true;
-	nd->version = -1;
-	nd->paused_until = 0;
-	s->process[slot]++;
-	grants_init(&nd->grants, s->way,
-		    sim_local(nd) + grants_prev_process_hold_ms(
-					    s->way, timing.lease_ms));
-	nd->grants.disabled_rules = s->grant_rules;
-	nd->life_known = 0;
-	if (s->granted && !sim_has_backend(nd))
+	nd->configuration_version = -1;
+	nd->paused_until_ms = 0;
+	s->process_number[slot]++;
+	grants_init(&nd->grants, s->grant_ops,
+		    sim_node_now_ms(nd) +
+			    grants_prev_process_hold_ms(s->grant_ops,
+							timing.lease_ms));
+	nd->grants.disabled_rules = s->disabled_grant_rules;
+	nd->known_instance = 0;
+	if (s->uses_grants && !sim_has_backend(nd))
 		member_set_server_instance(&nd->member, "life");
 	/* A server announces itself before its node joins. */
 	if (!sim_has_backend(nd))
-		member_set_membership_wanted(&nd->member, true, sim_local(nd));
+		member_set_membership_wanted(&nd->member, true,
+					     sim_node_now_ms(nd));
 }
 
 /* End the process of a slot at once, as kill -9 does. */
@@ -221,10 +225,10 @@
 /* Freeze a process; messages to it wait. */
 void sim_pause(struct sim *s, uint32_t slot, int64_t ms)
 {
-	s->nodes[slot].paused_until = s->now + ms;
+	s->nodes[slot].paused_until_ms = s->now_ms + ms;
 }
 
-static json_t *document(const struct sim *s, const char *out)
+static json_t *configuration_document(const struct sim *s, const char *out)
 {
 	json_t *dcs = json_array();
 	json_t *doc;
@@ -237,7 +241,7 @@
 			json_pack("{s:s,s:b}", "name", sim_data_centres[i],
 				  "in_service",
 				  !out || strcmp(out, sim_data_centres[i])));
-	if (s->granted)
+	if (s->uses_grants)
 		key = json_pack("{s:s,s:s,s:i}", "in", "header", "name", "Key",
 				"numbers", 65536);
 	else
@@ -253,7 +257,7 @@
 /* An operator publishes a configuration based on what some node knows. */
 void sim_configure(struct sim *s, const char *out_of_service)
 {
-	json_t *doc = document(s, out_of_service);
+	json_t *doc = configuration_document(s, out_of_service);
 	int64_t base = -1;
 	json_t *r;
 	uint32_t i;
@@ -264,38 +268,38 @@
 				base,
 				s->nodes[i].member.fleet.configuration_version);
 	r = record_configuration(base, doc, "operator", "test");
-	if (s->log_down_until <= s->now)
+	if (s->log_down_until_ms <= s->now_ms)
 		sim_add_record(s, "", r);
 	json_decref(r);
 	json_decref(doc);
 }
 
-static void init(struct sim *s, uint32_t seed, uint32_t disabled_rules,
-		 const struct grant_ops *way, uint32_t grant_rules)
+static void init_sim(struct sim *s, uint32_t seed, uint32_t disabled_rules,
+		     const struct grant_ops *way, uint32_t grant_rules)
 {
 	uint32_t i;
 
 	memset(s, 0, sizeof(*s));
-	s->granted = way;
-	s->way = way;
-	s->grant_rules = grant_rules;
+	s->uses_grants = way;
+	s->grant_ops = way;
+	s->disabled_grant_rules = grant_rules;
 	s->rand = g_rand_new_with_seed(seed);
-	s->now = 1000;
+	s->now_ms = 1000;
 	s->log = g_ptr_array_new();
-	s->answers = g_queue_new();
+	s->append_answers = g_queue_new();
 	s->n_shards = N_SHARDS;
 	s->top_fence = g_new0(int64_t, N_SHARDS);
-	s->top_slot = g_new0(uint32_t, N_SHARDS);
-	s->top_life = g_new0(uint32_t, N_SHARDS);
+	s->top_fence_slot = g_new0(uint32_t, N_SHARDS);
+	s->top_fence_instance = g_new0(uint32_t, N_SHARDS);
 	s->disabled_rules = disabled_rules;
 	for (i = 0; i < SIM_NODES; i++) {
 		struct sim_node *nd = &s->nodes[i];
 
 		nd->sim = s;
 		nd->slot = i;
-		nd->rate = 1.0 + (chance(s) - 0.5) * 0.02;
-		nd->clock_base = g_rand_int_range(s->rand, 1000, 1000000);
-		nd->busy_until = g_new0(int64_t, N_SHARDS);
+		nd->clock_rate = 1.0 + (random_double(s) - 0.5) * 0.02;
+		nd->clock_base_ms = g_rand_int_range(s->rand, 1000, 1000000);
+		nd->busy_until_ms = g_new0(int64_t, N_SHARDS);
 		nd->busy_fence = g_new0(int64_t, N_SHARDS);
 		nd->inbox = g_queue_new();
 		if (sim_has_backend(nd))
@@ -307,17 +311,18 @@
 
 void sim_init(struct sim *s, uint32_t seed, uint32_t disabled_rules)
 {
-	init(s, seed, disabled_rules, NULL, 0);
+	init_sim(s, seed, disabled_rules, NULL, 0);
 }
 
-void sim_init_granted(struct sim *s, uint32_t seed, uint32_t disabled_rules)
+void sim_init_grant_by_heartbeat(struct sim *s, uint32_t seed,
+				 uint32_t disabled_rules)
 {
-	init(s, seed, disabled_rules, &grant_by_heartbeat, 0);
+	init_sim(s, seed, disabled_rules, &grant_by_heartbeat, 0);
 }
 
-void sim_init_called(struct sim *s, uint32_t seed, uint32_t grant_rules)
+void sim_init_grant_by_call(struct sim *s, uint32_t seed, uint32_t grant_rules)
 {
-	init(s, seed, 0, &grant_by_call, grant_rules);
+	init_sim(s, seed, 0, &grant_by_call, grant_rules);
 }
 
 static void packet_free(gpointer p)
@@ -333,13 +338,13 @@
 	uint32_t i;
 
 	g_free(s->top_fence);
-	g_free(s->top_slot);
-	g_free(s->top_life);
+	g_free(s->top_fence_slot);
+	g_free(s->top_fence_instance);
 	for (i = 0; i < SIM_NODES; i++) {
 		sim_kill(s, i);
 		sim_backend_finish(&s->nodes[i]);
 		g_queue_free_full(s->nodes[i].inbox, packet_free);
-		g_free(s->nodes[i].busy_until);
+		g_free(s->nodes[i].busy_until_ms);
 		g_free(s->nodes[i].busy_fence);
 	}
 	for (i = 0; i < s->log->len; i++) {
@@ -350,11 +355,11 @@
 		g_free(r);
 	}
 	g_ptr_array_unref(s->log);
-	g_queue_free_full(s->answers, g_free);
+	g_queue_free_full(s->append_answers, g_free);
 	g_rand_free(s->rand);
 }
 
-static void deliver(struct sim_node *nd)
+static void deliver_packets(struct sim_node *nd)
 {
 	GList *l = nd->inbox->head;
 
@@ -363,11 +368,11 @@
 		GList *next = l->next;
 		struct member_msg msg;
 
-		if (p->at <= nd->sim->now) {
+		if (p->arrives_at_ms <= nd->sim->now_ms) {
 			if (nd->up && !member_msg_decode(&msg, p->data->data,
 							 p->data->len)) {
 				member_on_message(&nd->member, &msg,
-						  sim_local(nd));
+						  sim_node_now_ms(nd));
 				member_msg_finish(&msg);
 			}
 			packet_free(p);
@@ -381,16 +386,17 @@
  * Whether a node leaves the log alone for now, as node/streams.c does: others
  * pass records on to it, and none has told it that it lacks any.
  */
-static bool pauses(const struct sim_node *nd)
+static bool skips_log_read(const struct sim_node *nd)
 {
 	const struct member_node *m = &nd->member;
 	struct read_plan plan;
 
 	read_plan_make(m, 0, &plan);
-	return nd->sim->granted && plan.idle_interval_ms && !m->log_read_due &&
-	       nd->sim->now - nd->read_at < plan.idle_interval_ms &&
+	return nd->sim->uses_grants && plan.idle_interval_ms &&
+	       !m->log_read_due &&
+	       nd->sim->now_ms - nd->log_read_at_ms < plan.idle_interval_ms &&
 	       !(m->behind_since_ms &&
-		 m->now_ms - m->behind_since_ms > READ_WHEN_BEHIND_MS);
+		 m->now_ms - m->behind_since_ms > BEHIND_READ_DELAY_MS);
 }
 
 static void read_log(struct sim_node *nd)
@@ -398,11 +404,12 @@
 	struct sim *s = nd->sim;
 	int64_t first, next;
 
-	nd->member.log_up = s->log_down_until <= s->now && !nd->log_cut &&
-			    nd->behind_until <= s->now;
-	if (!nd->member.log_up || pauses(nd))
+	nd->member.log_up = s->log_down_until_ms <= s->now_ms &&
+			    !nd->log_unreachable &&
+			    nd->no_records_until_ms <= s->now_ms;
+	if (!nd->member.log_up || skips_log_read(nd))
 		return;
-	nd->read_at = s->now;
+	nd->log_read_at_ms = s->now_ms;
 	nd->member.log_read_due = false;
 	first = nd->member.fleet.applied + 1;
 	next = first;
@@ -410,31 +417,35 @@
 		struct sim_log_record *r = g_ptr_array_index(s->log, next);
 
 		member_on_record(&nd->member, next, r->id, r->record,
-				 sim_local(nd));
+				 sim_node_now_ms(nd));
 		next++;
 	}
-	member_on_log_tail(&nd->member, sim_local(nd), sim_local(nd));
-	nd->n_reads += next > first;
-	nd->n_looks++;
-	if (s->granted && next > first)
+	member_on_log_tail(&nd->member, sim_node_now_ms(nd),
+			   sim_node_now_ms(nd));
+	nd->n_nonempty_log_reads += next > first;
+	nd->n_log_reads++;
+	if (s->uses_grants && next > first)
 		member_relay_records(&nd->member, first);
 }
 
 static void answer_appends(struct sim *s)
 {
-	GList *l = s->answers->head;
+	GList *l = s->append_answers->head;
 
 	while (l) {
 		struct sim_append *a = l->data;
 		GList *next = l->next;
 		struct sim_node *nd = &s->nodes[a->slot];
 
-		if (a->at <= s->now && nd->paused_until <= s->now) {
-			if (nd->up && a->process == s->process[a->slot])
+		if (a->answer_at_ms <= s->now_ms &&
+		    nd->paused_until_ms <= s->now_ms) {
+			if (nd->up &&
+			    a->process_number == s->process_number[a->slot])
 				member_append_done(&nd->member, a->kind,
-						   a->result, sim_local(nd));
+						   a->result,
+						   sim_node_now_ms(nd));
 			g_free(a);
-			g_queue_delete_link(s->answers, l);
+			g_queue_delete_link(s->append_answers, l);
 		}
 		l = next;
 	}
@@ -450,36 +461,37 @@
 	if (nd->slot >= SIM_KEYED || sim_has_backend(nd))
 		return;
 	for (i = 0; i < s->n_shards; i++) {
-		int64_t now = sim_local(nd);
+		int64_t now = sim_node_now_ms(nd);
 		int64_t ms;
 
-		if (chance(s) > 0.05 ||
+		if (random_double(s) > 0.05 ||
 		    member_may_serve(&nd->member, i, now, &fence, &end))
 			continue;
 		ms = g_rand_int_range(s->rand, 10, 2000);
-		ms = MIN(ms, (end - now) / nd->rate);
-		if (s->verbose && s->now + ms > nd->busy_until[i])
+		ms = MIN(ms, (end - now) / nd->clock_rate);
+		if (s->verbose && s->now_ms + ms > nd->busy_until_ms[i])
 			g_print("%7" G_GINT64_FORMAT
 				" node %u shard %u busy for %" G_GINT64_FORMAT
 				" lease %" G_GINT64_FORMAT "\n",
-				(gint64)s->now, nd->slot, i, (gint64)ms,
+				(gint64)s->now_ms, nd->slot, i, (gint64)ms,
 				(gint64)(end - now));
-		nd->busy_until[i] = MAX(nd->busy_until[i], s->now + ms);
+		nd->busy_until_ms[i] =
+			MAX(nd->busy_until_ms[i], s->now_ms + ms);
 		nd->busy_fence[i] = fence;
 	}
 }
 
-static bool serves(struct sim_node *nd, uint32_t shard)
+static bool node_serves(struct sim_node *nd, uint32_t shard)
 {
 	int64_t fence, end;
 
 	if (sim_has_backend(nd))
 		return sim_backend_holds(nd, shard);
-	if (nd->busy_until[shard] > nd->sim->now)
+	if (nd->busy_until_ms[shard] > nd->sim->now_ms)
 		return true;
 	return nd->up && nd->slot < SIM_KEYED &&
-	       !member_may_serve(&nd->member, shard, sim_local(nd), &fence,
-				 &end);
+	       !member_may_serve(&nd->member, shard, sim_node_now_ms(nd),
+				 &fence, &end);
 }
 
 /* Print the records, for a failing seed. */
@@ -505,31 +517,33 @@
 	int64_t fence, end;
 
 	if (!nd->up || nd->slot >= SIM_KEYED || sim_has_backend(nd) ||
-	    member_may_serve(&nd->member, shard, sim_local(nd), &fence, &end))
+	    member_may_serve(&nd->member, shard, sim_node_now_ms(nd), &fence,
+			     &end))
 		return;
 	if (fence < s->top_fence[shard] ||
-	    (fence == s->top_fence[shard] && s->top_slot[shard] != nd->slot)) {
+	    (fence == s->top_fence[shard] &&
+	     s->top_fence_slot[shard] != nd->slot)) {
 		s->fence_breaches++;
 		if (s->verbose)
 			g_print("%7" G_GINT64_FORMAT
 				" node %u serves shard %u under fence "
 				"%" G_GINT64_FORMAT ", node %u had it under "
 				"%" G_GINT64_FORMAT "\n",
-				(gint64)s->now, nd->slot, shard, (gint64)fence,
-				s->top_slot[shard],
+				(gint64)s->now_ms, nd->slot, shard,
+				(gint64)fence, s->top_fence_slot[shard],
 				(gint64)s->top_fence[shard]);
 		if (s->verbose && s->fence_breaches == 1) {
 			print_log(s);
-			sim_print(s);
+			sim_print_nodes(s);
 		}
 	}
 	if (fence < s->top_fence[shard])
 		return;
 	s->top_fence[shard] = fence;
-	s->top_slot[shard] = nd->slot;
+	s->top_fence_slot[shard] = nd->slot;
 }
 
-static void check(struct sim *s)
+static void check_safety(struct sim *s)
 {
 	uint32_t i, j;
 
@@ -541,21 +555,21 @@
 		uint32_t n = 0;
 
 		for (j = 0; j < SIM_NODES; j++)
-			n += serves(&s->nodes[j], i);
+			n += node_serves(&s->nodes[j], i);
 		if (n < 2)
 			continue;
 		s->breaches++;
 		for (j = 0; s->verbose && j < SIM_NODES; j++)
-			if (serves(&s->nodes[j], i))
+			if (node_serves(&s->nodes[j], i))
 				g_print("%7" G_GINT64_FORMAT
 					" shard %u served by node %u (%s)\n",
-					(gint64)s->now, i, j,
-					s->nodes[j].busy_until[i] > s->now
+					(gint64)s->now_ms, i, j,
+					s->nodes[j].busy_until_ms[i] > s->now_ms
 						? "busy"
 						: "idle");
 		if (s->verbose && s->breaches == 1) {
 			print_log(s);
-			sim_print(s);
+			sim_print_nodes(s);
 		}
 	}
 	for (j = 0; j < SIM_NODES; j++) {
@@ -564,13 +578,14 @@
 		if (!nd->up)
 			continue;
 		g_assert_cmpint(nd->member.fleet.configuration_version, >=,
-				nd->version);
-		nd->version = nd->member.fleet.configuration_version;
+				nd->configuration_version);
+		nd->configuration_version =
+			nd->member.fleet.configuration_version;
 	}
 }
 
 /* The newest state that any node has. */
-struct fleet *sim_newest(struct sim *s)
+struct fleet *sim_newest_state(struct sim *s)
 {
 	struct fleet *best = NULL;
 	uint32_t i;
@@ -585,7 +600,7 @@
 }
 
 /* The node that is a member now, -1 none. */
-int sim_slot(struct sim *s, int64_t member)
+int sim_slot_of_member(struct sim *s, int64_t member)
 {
 	uint32_t i;
 
@@ -607,10 +622,10 @@
 }
 
 /* Cut two nodes off from each other. */
-void sim_cut(struct sim *s, uint32_t a, uint32_t b, int64_t ms)
+void sim_cut_link(struct sim *s, uint32_t a, uint32_t b, int64_t ms)
 {
-	s->cut_until[a][b] = s->now + ms;
-	s->cut_until[b][a] = s->now + ms;
+	s->link_cut_until_ms[a][b] = s->now_ms + ms;
+	s->link_cut_until_ms[b][a] = s->now_ms + ms;
 }
 
 /* Advance real time by one step. */
@@ -618,35 +633,35 @@
 {
 	uint32_t i;
 
-	s->now += SIM_STEP_MS;
+	s->now_ms += SIM_STEP_MS;
 	answer_appends(s);
 	for (i = 0; i < SIM_NODES; i++) {
 		struct sim_node *nd = &s->nodes[i];
 
-		if (!nd->up || nd->paused_until > s->now)
+		if (!nd->up || nd->paused_until_ms > s->now_ms)
 			continue;
-		deliver(nd);
+		deliver_packets(nd);
 		read_log(nd);
-		member_tick(&nd->member, sim_local(nd));
+		member_tick(&nd->member, sim_node_now_ms(nd));
 		start_requests(nd);
-		if (s->way == &grant_by_call && sim_has_backend(nd))
-			sim_backend_call(nd);
+		if (s->grant_ops == &grant_by_call && sim_has_backend(nd))
+			sim_backend_send_calls(nd);
 	}
-	for (i = 0; s->granted && i < SIM_KEYED; i++)
+	for (i = 0; s->uses_grants && i < SIM_KEYED; i++)
 		sim_backend_step(&s->nodes[i]);
-	check(s);
+	check_safety(s);
 }
 
 void sim_run(struct sim *s, int64_t ms)
 {
-	int64_t end = s->now + ms;
+	int64_t end = s->now_ms + ms;
 
-	while (s->now < end)
+	while (s->now_ms < end)
 		sim_step(s);
 }
 
 /* The node that serves a shard, -1 none. */
-int sim_server(struct sim *s, uint32_t shard)
+int sim_serving_slot(struct sim *s, uint32_t shard)
 {
 	int64_t fence, end;
 	uint32_t j;
@@ -656,22 +671,22 @@
 
 		if (sim_has_backend(nd) && !sim_backend_holds(nd, shard))
 			continue;
-		if (nd->up && nd->paused_until <= s->now &&
-		    !member_may_serve(&nd->member, shard, sim_local(nd), &fence,
-				      &end))
+		if (nd->up && nd->paused_until_ms <= s->now_ms &&
+		    !member_may_serve(&nd->member, shard, sim_node_now_ms(nd),
+				      &fence, &end))
 			return j;
 	}
 	return -1;
 }
 
 /* How many shards nobody serves. */
-uint32_t sim_unserved(struct sim *s)
+uint32_t sim_n_unserved(struct sim *s)
 {
 	uint32_t n = 0;
 	uint32_t i;
 
 	for (i = 0; i < s->n_shards; i++)
-		n += sim_server(s, i) < 0;
+		n += sim_serving_slot(s, i) < 0;
 	return n;
 }
 
@@ -679,7 +694,8 @@
 /* Whether the log says of every move that nobody before still serves. */
 static bool all_settled(struct sim *s)
 {
-	struct fleet_service *sv = fleet_service(sim_newest(s), "records");
+	struct fleet_service *sv =
+		fleet_service(sim_newest_state(s), "records");
 	uint32_t i;
 
 	for (i = 0; sv && i < sv->n_shards; i++)
@@ -690,15 +706,15 @@
 
 static bool all_served(struct sim *s)
 {
-	return !sim_unserved(s);
+	return !sim_n_unserved(s);
 }
 
 static bool step_until(struct sim *s, bool (*reached)(struct sim *s),
 		       int64_t max_ms)
 {
-	int64_t end = s->now + max_ms;
+	int64_t end = s->now_ms + max_ms;
 
-	while (s->now < end) {
+	while (s->now_ms < end) {
 		sim_step(s);
 		if (reached(s))
 			return true;
@@ -706,12 +722,12 @@
 	return false;
 }
 
-bool sim_settle(struct sim *s, int64_t max_ms)
+bool sim_run_until_settled(struct sim *s, int64_t max_ms)
 {
 	return step_until(s, all_settled, max_ms);
 }
 
-bool sim_converge(struct sim *s, int64_t max_ms)
+bool sim_run_until_served(struct sim *s, int64_t max_ms)
 {
 	return step_until(s, all_served, max_ms);
 }
--- a/t/slope.c
+++ b/t/slope.c
@@ -74,7 +74,7 @@
 				       op_export, op_import, op_published,
 				       op_note };
 
-static double apply(json_t *r)
+static double apply_record(json_t *r)
 {
 	int64_t t = clock_now_us();
 
@@ -83,7 +83,7 @@
 	return (clock_now_us() - t) / 1000.0;
 }
 
-static json_t *document(int shards, int out)
+static json_t *make_document(int shards, int out_of_service)
 {
 	json_t *services = json_array();
 	json_t *dcs = json_array();
@@ -97,14 +97,15 @@
 	for (i = 0; i < N_DATA_CENTRES; i++)
 		json_array_append_new(dcs, json_pack("{s:o,s:b}", "name",
 						     json_sprintf("d%d", i),
-						     "in_service", i != out));
+						     "in_service",
+						     i != out_of_service));
 	return json_pack("{s:o,s:[],s:o}", "services", services, "classes",
 			 "data_centres", dcs);
 }
 
-static json_t *configuration(int shards, int out)
+static json_t *configuration_record(int shards, int out_of_service)
 {
-	json_t *doc = document(shards, out);
+	json_t *doc = make_document(shards, out_of_service);
 	json_t *r = record_configuration(node.fleet.configuration_version, doc,
 					 "op", "");
 
@@ -112,7 +113,7 @@
 	return r;
 }
 
-static json_t *join(int i)
+static json_t *join_record(int i)
 {
 	struct member m;
 
@@ -137,7 +138,7 @@
 	for_each_member (&node.fleet, m, i)
 		if (!strcmp(m->data_centre, "d3"))
 			record_expel_add(r, m);
-	return apply(r);
+	return apply_record(r);
 }
 
 static char *routes_text(int n, int version)
@@ -171,14 +172,14 @@
 }
 
 /* One change of the operators: what its proposer and what each host spends. */
-static void change_routes(const char *what, int n, int version)
+static void measure_route_change(const char *what, int n, int version)
 {
 	char *text = routes_text(n, version);
 	json_t *key = json_string(text);
 	struct published p;
-	double proposer, host = 0;
+	double proposer_ms, host_ms = 0;
 	size_t bytes = 0;
-	bool whole = false;
+	bool complete = false;
 	json_t *doc;
 	int64_t t;
 
@@ -186,30 +187,30 @@
 	published_take(&p, "config", key);
 	t = clock_now_us();
 	doc = published_document(&p, node.fleet.document);
-	proposer = ms_since(t);
-	while (!whole) {
+	proposer_ms = ms_since(t);
+	while (!complete) {
 		json_t *changes, *r;
 		char *line;
 		GString *packed;
 
 		t = clock_now_us();
 		changes = changes_between(node.fleet.document, doc, 192 * 1024,
-					  &whole);
+					  &complete);
 		r = record_changes(node.fleet.configuration_version, changes,
-				   version, whole, 1);
+				   version, complete, 1);
 		line = json_dumps(r, JSON_COMPACT);
 		packed = deflate_bytes(line, strlen(line));
-		proposer += ms_since(t);
+		proposer_ms += ms_since(t);
 		bytes += packed->len;
 		json_decref(r);
 		g_string_free(packed, TRUE);
 		t = clock_now_us();
 		r = json_loads(line, 0, NULL);
-		host += ms_since(t) + apply(r);
+		host_ms += ms_since(t) + apply_record(r);
 		free(line);
 	}
 	printf("%s: proposer %.1f ms, record %zu bytes, each host %.2f ms; ",
-	       what, proposer, bytes, host);
+	       what, proposer_ms, bytes, host_ms);
 	free(text);
 	json_decref(key);
 	json_decref(doc);
@@ -217,16 +218,16 @@
 }
 
 /* What a configuration of n routes costs. */
-static void routes(int n)
+static void measure_routes(int n)
 {
 	struct mallinfo2 before = mallinfo2();
 	int64_t t;
 	int i;
 
 	printf("routes %d: ", n);
-	change_routes("all", n, 1);
-	change_routes("one differs", n, 2);
-	change_routes("1,400 more", n + 1400, 3);
+	measure_route_change("all", n, 1);
+	measure_route_change("one differs", n, 2);
+	measure_route_change("1,400 more", n + 1400, 3);
 	t = clock_now_us();
 	for (i = 0; i < TICKS; i++)
 		configuration_match(&node.fleet.configuration, "GET",
@@ -243,7 +244,7 @@
 	int shards = argc > 2 ? atoi(argv[2]) : 4096;
 	struct member me;
 	struct mallinfo2 before = mallinfo2();
-	double joins = 0, configured, out, lost;
+	double joins_ms = 0, configured_ms, out_ms, lost_ms;
 	json_t *state;
 	char *text;
 	int64_t t;
@@ -255,12 +256,12 @@
 	g_strlcpy(me.nonce, "me", sizeof(me.nonce));
 	member_init(&node, &me, &timing, &ops, NULL, 1000, 1);
 	if (argc > 3) {
-		routes(atoi(argv[3]));
+		measure_routes(atoi(argv[3]));
 		return 0;
 	}
 	for (i = 0; i < n; i++)
-		joins += apply(join(i));
-	configured = apply(configuration(shards, -1));
+		joins_ms += apply_record(join_record(i));
+	configured_ms = apply_record(configuration_record(shards, -1));
 	t = clock_now_us();
 	for (i = 0; i < TICKS; i++)
 		member_tick(&node, 1000 + i * 50);
@@ -269,12 +270,13 @@
 	       n, N_SERVICES, shards,
 	       (mallinfo2().uordblks + mallinfo2().hblkhd - before.uordblks) /
 		       1e6,
-	       joins / n, configured, (double)(clock_now_us() - t) / TICKS);
-	out = apply(configuration(shards, 2));
-	lost = expel_data_centre();
+	       joins_ms / n, configured_ms,
+	       (double)(clock_now_us() - t) / TICKS);
+	out_ms = apply_record(configuration_record(shards, 2));
+	lost_ms = expel_data_centre();
 	state = fleet_snapshot(&node.fleet);
 	text = json_dumps(state, JSON_COMPACT);
 	printf(", data centre out %.0f ms, lost %.0f ms, snapshot %.2f MB\n",
-	       out, lost, strlen(text) / 1e6);
+	       out_ms, lost_ms, strlen(text) / 1e6);
 	return 0;
 }
--- a/t/test-member.c
+++ b/t/test-member.c
@@ -22,24 +22,25 @@
 	int64_t end;
 
 	if (kind == SIM_CALLED)
-		sim_init_called(s, seed, rules);
+		sim_init_grant_by_call(s, seed, rules);
 	else if (kind == SIM_GRANTED || kind == SIM_CROWDED)
-		sim_init_granted(s, seed, rules);
+		sim_init_grant_by_heartbeat(s, seed, rules);
 	else
 		sim_init(s, seed, rules);
 	s->verbose = g_getenv("VERBOSE") != NULL;
 	if (!rules)
-		g_assert_true(sim_converge(s, 20000));
+		g_assert_true(sim_run_until_served(s, 20000));
 	else
-		sim_converge(s, 20000);
+		sim_run_until_served(s, 20000);
 	s->loss = 0.02 * (seed % 5);
-	s->room = kind == SIM_CROWDED;
-	end = s->now + FAULTY_MS;
-	while (s->now < end && !s->breaches && (rules || !s->fence_breaches)) {
+	s->max_answer_rows = kind == SIM_CROWDED;
+	end = s->now_ms + FAULTY_MS;
+	while (s->now_ms < end && !s->breaches &&
+	       (rules || !s->fence_breaches)) {
 		sim_run(s, g_rand_int_range(s->rand, 100, 3000));
-		sim_fault(s);
+		sim_inject_fault(s);
 		if (g_rand_boolean(s->rand))
-			sim_fault(s);
+			sim_inject_fault(s);
 	}
 	return s->breaches;
 }
@@ -59,19 +60,19 @@
 
 		if (faulty_run(&s, first_seed + i, 0, GPOINTER_TO_UINT(kind)))
 			g_error("seed %u: two owners", first_seed + i);
-		sim_heal(&s);
-		if (!sim_converge(&s, 60000)) {
-			sim_print(&s);
+		sim_clear_faults(&s);
+		if (!sim_run_until_served(&s, 60000)) {
+			sim_print_nodes(&s);
 			g_error("seed %u: %u shards unserved", first_seed + i,
-				sim_unserved(&s));
+				sim_n_unserved(&s));
 		}
-		if (!sim_settle(&s, 60000))
+		if (!sim_run_until_settled(&s, 60000))
 			g_error("seed %u: a move is never settled",
 				first_seed + i);
 		if (s.breaches)
 			g_error("seed %u: two owners once healed",
 				first_seed + i);
-		if (s.unnamed)
+		if (s.n_omitted_held)
 			g_error("seed %u: granted what no answer named",
 				first_seed + i);
 		if (s.fence_breaches)
--- a/t/test-readers.c
+++ b/t/test-readers.c
@@ -8,8 +8,8 @@
 
 static void start(struct sim *s, uint32_t seed)
 {
-	sim_init_granted(s, seed, 0);
-	g_assert_true(sim_converge(s, 20000));
+	sim_init_grant_by_heartbeat(s, seed, 0);
+	g_assert_true(sim_run_until_served(s, 20000));
 	sim_run(s, 5000);
 }
 
@@ -19,7 +19,7 @@
 	uint32_t i;
 
 	for (i = 0; i < SIM_NODES; i++)
-		n += s->nodes[i].n_reads;
+		n += s->nodes[i].n_nonempty_log_reads;
 	return n;
 }
 
@@ -72,7 +72,8 @@
 
 		start(&s, seed);
 		for (i = 0; i < SIM_NODES; i++)
-			s.nodes[i].log_cut = s.nodes[i].member.is_log_reader;
+			s.nodes[i].log_unreachable =
+				s.nodes[i].member.is_log_reader;
 		append_padding(&s);
 		g_assert_true(all_hear(&s, 2500));
 		append_padding(&s);
@@ -109,11 +110,12 @@
 	start(&s, 3);
 	sim_run(&s, 15000);
 	for (i = 0; i < SIM_NODES; i++)
-		looks[i] = s.nodes[i].n_looks;
+		looks[i] = s.nodes[i].n_log_reads;
 	sim_run(&s, 50000);
 	for (i = 0; i < SIM_NODES; i++)
 		if (!s.nodes[i].member.is_log_reader)
-			g_assert_cmpuint(s.nodes[i].n_looks - looks[i], <=, 2);
+			g_assert_cmpuint(s.nodes[i].n_log_reads - looks[i], <=,
+					 2);
 	sim_finish(&s);
 }
 
@@ -131,8 +133,9 @@
 		for (i = 0; i < SIM_NODES; i++) {
 			const struct member_node *m = &s.nodes[i].member;
 
-			s.nodes[i].log_cut = m->is_log_reader || m->is_relay;
-			n_left += !s.nodes[i].log_cut;
+			s.nodes[i].log_unreachable = m->is_log_reader ||
+						     m->is_relay;
+			n_left += !s.nodes[i].log_unreachable;
 		}
 		g_assert_cmpuint(n_left, >, 0);
 		append_padding(&s);
@@ -148,13 +151,13 @@
 	struct sim s;
 	uint32_t i;
 
-	sim_init_granted(&s, 1, 0);
+	sim_init_grant_by_heartbeat(&s, 1, 0);
 	member_set_membership_wanted(&s.nodes[0].member, true, 0);
 	read_plan_make(&s.nodes[0].member, 10000, &p);
 	g_assert_cmpint(p.wait_ms, >=, 1000);
 	g_assert_cmpint(p.batch_delay_ms, >=, 1000);
 	g_assert_cmpint(p.idle_interval_ms, ==, 0);
-	g_assert_true(sim_converge(&s, 20000));
+	g_assert_true(sim_run_until_served(&s, 20000));
 	sim_run(&s, 5000);
 	for (i = 0; i < SIM_NODES; i++) {
 		const struct member_node *m = &s.nodes[i].member;
--- a/t/test-recovery.c
+++ b/t/test-recovery.c
@@ -11,9 +11,9 @@
 static void start_granted(struct sim *s, uint32_t seed, uint32_t rules,
 			  int64_t quiet_ms)
 {
-	sim_init_granted(s, seed, rules);
+	sim_init_grant_by_heartbeat(s, seed, rules);
 	s->verbose = g_getenv("VERBOSE") != NULL;
-	g_assert_true(sim_converge(s, 20000));
+	g_assert_true(sim_run_until_served(s, 20000));
 	sim_run(s, quiet_ms);
 }
 
@@ -25,25 +25,25 @@
 	int owner, heir;
 
 	start_granted(&s, seed, rules, 30000);
-	sv = fleet_service(sim_newest(&s), "records");
-	owner = sim_slot(&s, sv->shards[0].owner);
-	heir = sim_slot(&s, sv->shards[0].successor);
+	sv = fleet_service(sim_newest_state(&s), "records");
+	owner = sim_slot_of_member(&s, sv->shards[0].owner);
+	heir = sim_slot_of_member(&s, sv->shards[0].successor);
 	/* The heir takes over, and the log does not hear of it. */
-	s.log_down_until = s.now + 100000;
+	s.log_down_until_ms = s.now_ms + 100000;
 	sim_kill(&s, owner);
 	sim_run(&s, 8000);
-	g_assert_cmpint(sim_server(&s, 0), ==, heir);
+	g_assert_cmpint(sim_serving_slot(&s, 0), ==, heir);
 	/* Both are back; the heir's server reports before the log is read. */
-	s.log_down_until = 0;
+	s.log_down_until_ms = 0;
 	sim_kill(&s, heir);
 	sim_start(&s, heir);
-	s.nodes[heir].log_cut = true;
-	s.nodes[heir].backend.next_beat = s.now;
+	s.nodes[heir].log_unreachable = true;
+	s.nodes[heir].backend.next_heartbeat_at_ms = s.now_ms;
 	sim_run(&s, 3 * SIM_STEP_MS);
-	s.nodes[heir].log_cut = false;
-	s.nodes[heir].backend.next_beat = s.now + 10000;
+	s.nodes[heir].log_unreachable = false;
+	s.nodes[heir].backend.next_heartbeat_at_ms = s.now_ms + 10000;
 	sim_start(&s, owner);
-	s.nodes[owner].backend.next_beat = s.now;
+	s.nodes[owner].backend.next_heartbeat_at_ms = s.now_ms;
 	sim_run(&s, 4000);
 	breaches = s.breaches;
 	sim_finish(&s);
@@ -70,7 +70,8 @@
 
 static uint64_t late_call(uint32_t seed, uint32_t grant_rules)
 {
-	struct sim_call late = { .outcome = GRANT_IN_DOUBT, .answered = -1 };
+	struct sim_call late = { .outcome = GRANT_IN_DOUBT,
+				 .answer_at_ms = -1 };
 	struct fleet_service *sv;
 	struct sim_node *nd;
 	struct sim s;
@@ -78,28 +79,28 @@
 	int64_t fence;
 	int owner, heir;
 
-	sim_init_called(&s, seed, grant_rules);
+	sim_init_grant_by_call(&s, seed, grant_rules);
 	s.verbose = g_getenv("VERBOSE") != NULL;
-	g_assert_true(sim_converge(&s, 20000));
+	g_assert_true(sim_run_until_served(&s, 20000));
 	sim_run(&s, 15000);
-	sv = fleet_service(sim_newest(&s), "records");
-	owner = sim_slot(&s, sv->shards[0].owner);
-	heir = sim_slot(&s, sv->shards[0].successor);
+	sv = fleet_service(sim_newest_state(&s), "records");
+	owner = sim_slot_of_member(&s, sv->shards[0].owner);
+	heir = sim_slot_of_member(&s, sv->shards[0].successor);
 	nd = &s.nodes[heir];
-	s.log_down_until = s.now + 100000;
+	s.log_down_until_ms = s.now_ms + 100000;
 	sim_kill(&s, owner);
-	while (sim_server(&s, 0) != heir)
+	while (sim_serving_slot(&s, 0) != heir)
 		sim_step(&s);
 	/* Sent as the heir is killed, and carried out as its hold would end. */
 	g_assert_true(member_holds(&nd->member, 0, &fence));
 	late.call.row.fence = fence;
 	late.call.hold_ms = 2200;
-	late.life = nd->backend.life;
-	late.arrives = s.now;
-	late.applied = s.now + 2100;
+	late.instance = nd->backend.instance;
+	late.arrives_at_ms = s.now_ms;
+	late.apply_at_ms = s.now_ms + 2100;
 	g_array_append_val(nd->backend.calls, late);
-	s.log_down_until = 0;
-	sim_kill_all(&s, false, SIM_STEP_MS);
+	s.log_down_until_ms = 0;
+	sim_restart_all(&s, false, SIM_STEP_MS);
 	sim_run(&s, 4000);
 	breaches = s.breaches;
 	sim_finish(&s);
@@ -136,13 +137,13 @@
 
 	start_granted(&s, 7, 0, 20000);
 	for (i = 0; i < SIM_NODES; i++)
-		reads -= s.nodes[i].n_reads;
+		reads -= s.nodes[i].n_nonempty_log_reads;
 	sim_configure(&s, NULL);
 	sim_run(&s, 200);
 	for (i = 0; i < SIM_NODES; i++) {
 		g_assert_cmpint(s.nodes[i].member.fleet.applied, ==,
 				s.log->len - 1);
-		reads += s.nodes[i].n_reads;
+		reads += s.nodes[i].n_nonempty_log_reads;
 	}
 	g_assert_cmpuint(reads, <=, 4);
 	sim_finish(&s);
@@ -152,15 +153,15 @@
 static void restart_beside_server(struct sim *s, int slot)
 {
 	struct sim_node *nd = &s->nodes[slot];
-	json_t *snapshot = fleet_snapshot(sim_newest(s));
+	json_t *snapshot = fleet_snapshot(sim_newest_state(s));
 
 	sim_kill(s, slot);
 	sim_start(s, slot);
 	g_assert_cmpint(member_load_snapshot(&nd->member, snapshot,
-					     sim_local(nd)),
+					     sim_node_now_ms(nd)),
 			==, RESULT_OK);
 	json_decref(snapshot);
-	nd->backend.next_beat = s->now;
+	nd->backend.next_heartbeat_at_ms = s->now_ms;
 }
 
 static uint64_t unknown_past(uint32_t seed, uint32_t rules)
@@ -171,15 +172,16 @@
 	int64_t a, x;
 
 	start_granted(&s, seed, rules, 30000);
-	sv = fleet_service(sim_newest(&s), "records");
+	sv = fleet_service(sim_newest_state(&s), "records");
 	a = sv->shards[0].owner;
 	x = sim_other_member(&s, a, sv->shards[0].successor, 0);
 	sim_append_move(&s, 0, x, sim_other_member(&s, a, x, 0));
-	restart_beside_server(&s, sim_slot(&s, a));
+	restart_beside_server(&s, sim_slot_of_member(&s, a));
 	sim_run(&s, 200);
 	/* The first server holds on, and hears of nothing. */
-	s.nodes[s.top_slot[0]].backend.next_beat = s.now + 10000;
-	restart_beside_server(&s, sim_slot(&s, x));
+	s.nodes[s.top_fence_slot[0]].backend.next_heartbeat_at_ms =
+		s.now_ms + 10000;
+	restart_beside_server(&s, sim_slot_of_member(&s, x));
 	sim_run(&s, 6000);
 	breaches = s.breaches;
 	sim_finish(&s);
@@ -228,20 +230,20 @@
 		int64_t began;
 
 		if (how & ALL_CALLED)
-			sim_init_called(&s, seed, 0);
+			sim_init_grant_by_call(&s, seed, 0);
 		else
-			sim_init_granted(&s, seed, 0);
+			sim_init_grant_by_heartbeat(&s, seed, 0);
 		s.verbose = g_getenv("VERBOSE") != NULL;
-		g_assert_true(sim_converge(&s, 20000));
+		g_assert_true(sim_run_until_served(&s, 20000));
 		sim_run(&s, 15000);
 		if (how & ALL_AGAIN) {
-			sim_kill_all(&s, how & ALL_SERVERS, 1300);
+			sim_restart_all(&s, how & ALL_SERVERS, 1300);
 			sim_run(&s, 15000);
 		}
-		sim_kill_all(&s, how & ALL_SERVERS, 1300);
-		began = s.now;
-		sim_converge(&s, 30000);
-		longest = MAX(longest, s.now - began);
+		sim_restart_all(&s, how & ALL_SERVERS, 1300);
+		began = s.now_ms;
+		sim_run_until_served(&s, 30000);
+		longest = MAX(longest, s.now_ms - began);
 		g_assert_cmpuint(s.breaches, ==, 0);
 		g_assert_cmpuint(s.fence_breaches, ==, 0);
 		sim_finish(&s);
--- a/t/test-schedules.c
+++ b/t/test-schedules.c
@@ -15,9 +15,9 @@
 {
 	sim_init(s, seed, rules);
 	s->verbose = g_getenv("VERBOSE") != NULL;
-	g_assert_true(sim_converge(s, 20000));
+	g_assert_true(sim_run_until_served(s, 20000));
 	sim_run(s, 30000);
-	g_assert_cmpuint(sim_unserved(s), ==, 0);
+	g_assert_cmpuint(sim_n_unserved(s), ==, 0);
 }
 
 static bool inherits_more(const struct fleet_service *sv, uint32_t shard)
@@ -47,7 +47,7 @@
 	int slot = sim_slot_of_process(s, process);
 
 	if (slot >= 0)
-		s->nodes[slot].behind_until = s->now + 20000;
+		s->nodes[slot].no_records_until_ms = s->now_ms + 20000;
 }
 
 /*
@@ -65,11 +65,11 @@
 	json_t *r;
 
 	start_quietly(&s, seed, rules);
-	sv = fleet_service(sim_newest(&s), "records");
+	sv = fleet_service(sim_newest_state(&s), "records");
 	i = shard_with_common_heir(sv);
 	a = sv->shards[i].owner;
 	b = sv->shards[i].successor;
-	m = fleet_member(sim_newest(&s), a);
+	m = fleet_member(sim_newest_state(&s), a);
 	for (j = 0; j < 5; j++) {
 		int64_t id = s.nodes[j].member.self_id;
 
@@ -79,7 +79,8 @@
 	}
 	for (j = 0; j < m->witnesses.n; j++)
 		put_behind(&s, m->witnesses.id[j]);
-	s.nodes[sim_slot(&s, b)].behind_until = s.now + 20000;
+	s.nodes[sim_slot_of_member(&s, b)].no_records_until_ms =
+		s.now_ms + 20000;
 	r = record_move("records", 0, "test");
 	record_move_add(r, i, c, b, sv->shards[i].fence);
 	if (!c)
@@ -87,8 +88,8 @@
 	else
 		sim_append(&s, r);
 	sim_run(&s, 600);
-	sim_kill(&s, sim_slot(&s, a));
-	s.log_down_until = s.now + 10000;
+	sim_kill(&s, sim_slot_of_member(&s, a));
+	s.log_down_until_ms = s.now_ms + 10000;
 	sim_run(&s, 6000);
 	breaches = s.breaches;
 	sim_finish(&s);
@@ -127,23 +128,24 @@
 	json_t *r;
 
 	start_quietly(&s, seed, rules);
-	sv = fleet_service(sim_newest(&s), "records");
+	sv = fleet_service(sim_newest_state(&s), "records");
 	a = sv->shards[0].owner;
 	b = sv->shards[0].successor;
-	m = fleet_member(sim_newest(&s), a);
+	m = fleet_member(sim_newest_state(&s), a);
 	for (j = 0; j < 5; j++)
 		if (s.nodes[j].member.self_id != a &&
 		    s.nodes[j].member.self_id != b)
 			c = s.nodes[j].member.self_id;
 	for (j = 0; j < m->witnesses.n; j++)
 		put_behind(&s, m->witnesses.id[j]);
-	s.nodes[sim_slot(&s, b)].behind_until = s.now + 20000;
+	s.nodes[sim_slot_of_member(&s, b)].no_records_until_ms =
+		s.now_ms + 20000;
 	r = record_move("records", 0, "test");
 	record_move_add(r, 0, a, c, sv->shards[0].fence);
 	sim_append(&s, r);
 	sim_run(&s, 600);
-	sim_kill(&s, sim_slot(&s, a));
-	s.log_down_until = s.now + 10000;
+	sim_kill(&s, sim_slot_of_member(&s, a));
+	s.log_down_until_ms = s.now_ms + 10000;
 	sim_run(&s, 6000);
 	g_assert_cmpuint(s.breaches, ==, 0);
 	breaches = s.fence_breaches;
@@ -180,25 +182,26 @@
 	int slot;
 
 	start_quietly(&s, seed, rules);
-	sv = fleet_service(sim_newest(&s), "records");
+	sv = fleet_service(sim_newest_state(&s), "records");
 	i = shard_with_common_heir(sv);
 	a = sv->shards[i].owner;
 	b = sv->shards[i].successor;
 	c = sim_other_member(&s, a, b, 0);
-	slot = sim_slot(&s, a);
-	s.nodes[sim_slot(&s, b)].behind_until = s.now + 20000;
+	slot = sim_slot_of_member(&s, a);
+	s.nodes[sim_slot_of_member(&s, b)].no_records_until_ms =
+		s.now_ms + 20000;
 	r = record_move("records", 0, "test");
 	record_move_add(r, i, c, sim_other_member(&s, a, b, c),
 			sv->shards[i].fence);
 	sim_append(&s, r);
-	for (end = s.now + 2000; s.now < end;) {
+	for (end = s.now_ms + 2000; s.now_ms < end;) {
 		sim_step(&s);
-		if (sim_server(&s, i) == sim_slot(&s, c))
+		if (sim_serving_slot(&s, i) == sim_slot_of_member(&s, c))
 			break;
 	}
-	g_assert_cmpint(sim_server(&s, i), ==, sim_slot(&s, c));
+	g_assert_cmpint(sim_serving_slot(&s, i), ==, sim_slot_of_member(&s, c));
 	sim_kill(&s, slot);
-	s.log_down_until = s.now + 10000;
+	s.log_down_until_ms = s.now_ms + 10000;
 	sim_run(&s, 6000);
 	breaches = s.breaches;
 	sim_finish(&s);
@@ -232,24 +235,24 @@
 	json_t *r;
 
 	start_quietly(&s, seed, rules);
-	sv = fleet_service(sim_newest(&s), "records");
+	sv = fleet_service(sim_newest_state(&s), "records");
 	a = sv->shards[0].owner;
 	b = sv->shards[0].successor;
 	c = sim_other_member(&s, a, b, 0);
 	d = sim_other_member(&s, a, b, c);
-	na = &s.nodes[sim_slot(&s, a)].member;
+	na = &s.nodes[sim_slot_of_member(&s, a)].member;
 	/* A long request runs on the shard, which moves to c and back. */
-	s.nodes[sim_slot(&s, a)].busy_until[0] = s.now + 6000;
+	s.nodes[sim_slot_of_member(&s, a)].busy_until_ms[0] = s.now_ms + 6000;
 	sim_append_move(&s, 0, c, a);
 	sim_run(&s, 1000);
 	r = record_expel(0, "test");
-	record_expel_add(r, fleet_member(sim_newest(&s), c));
-	sim_kill(&s, sim_slot(&s, c));
+	record_expel_add(r, fleet_member(sim_newest_state(&s), c));
+	sim_kill(&s, sim_slot_of_member(&s, c));
 	sim_append(&s, r);
 	na->no_acquire_until_ms = na->now_ms + 6000;
-	for (end = s.now + 3000; s.now < end;) {
+	for (end = s.now_ms + 3000; s.now_ms < end;) {
 		sim_step(&s);
-		sv = fleet_service(sim_newest(&s), "records");
+		sv = fleet_service(sim_newest_state(&s), "records");
 		if (!sv->shards[0].prev_owner)
 			break;
 	}
@@ -280,12 +283,13 @@
 /* Runs until the log names b as the owner of shard 0, and b serves it. */
 static void move_and_serve(struct sim *s, int64_t b, int64_t heir)
 {
-	int64_t end = s->now + 5000;
+	int64_t end = s->now_ms + 5000;
 
 	sim_append_move(s, 0, b, heir);
-	while (s->now < end && sim_server(s, 0) != sim_slot(s, b))
+	while (s->now_ms < end &&
+	       sim_serving_slot(s, 0) != sim_slot_of_member(s, b))
 		sim_step(s);
-	g_assert_cmpint(sim_server(s, 0), ==, sim_slot(s, b));
+	g_assert_cmpint(sim_serving_slot(s, 0), ==, sim_slot_of_member(s, b));
 }
 
 /* An owner is named another heir after it took a shard, and before it settled
@@ -300,20 +304,19 @@
 		struct sim s;
 
 		start_quietly(&s, seed, 0);
-		sh = fleet_service(sim_newest(&s), "records")->shards;
+		sh = fleet_service(sim_newest_state(&s), "records")->shards;
 		a = sh->owner;
 		heir = sh->successor;
 		b = sim_other_member(&s, a, heir, 0);
 		c = sim_other_member(&s, a, heir, b);
-		s.nodes[sim_slot(&s, b)].log_cut = true;
+		s.nodes[sim_slot_of_member(&s, b)].log_unreachable = true;
 		move_and_serve(&s, b, c);
-		sim_configure(
-			&s,
-			s.nodes[sim_slot(&s, c)].member.join_info.data_centre);
+		sim_configure(&s, s.nodes[sim_slot_of_member(&s, c)]
+					  .member.join_info.data_centre);
 		sim_run(&s, 1000);
-		s.nodes[sim_slot(&s, b)].log_cut = false;
+		s.nodes[sim_slot_of_member(&s, b)].log_unreachable = false;
 		sim_run(&s, 20000);
-		sh = fleet_service(sim_newest(&s), "records")->shards;
+		sh = fleet_service(sim_newest_state(&s), "records")->shards;
 		g_assert_cmpint(sh->prev_owner, ==, 0);
 		g_assert_cmpuint(s.breaches, ==, 0);
 		sim_finish(&s);
@@ -325,12 +328,12 @@
 {
 	struct witness_set w = { .n = 3, .id = { ids[0], ids[1], ids[2] } };
 	int64_t id = m->id;
-	int64_t end = s->now + 5000;
+	int64_t end = s->now_ms + 5000;
 
 	sim_append(s, record_witnesses(id, m->witness_offset, &w));
 	sim_run(s, 200);
-	while (s->now < end && fleet_member(sim_newest(s), id) &&
-	       fleet_member(sim_newest(s), id)->old_witnesses.n)
+	while (s->now_ms < end && fleet_member(sim_newest_state(s), id) &&
+	       fleet_member(sim_newest_state(s), id)->old_witnesses.n)
 		sim_step(s);
 }
 
@@ -346,7 +349,7 @@
 	start_quietly(&s, seed, rules);
 	a = s.nodes[0].member.self_id ? 0 : 1;
 	id = s.nodes[a].member.self_id;
-	m = *fleet_member(sim_newest(&s), id);
+	m = *fleet_member(sim_newest_state(&s), id);
 	memcpy(v, m.witnesses.id, sizeof(v));
 	for (i = 0, spare = 0; i < SIM_NODES && !spare; i++) {
 		int64_t p = s.nodes[i].member.process;
@@ -355,15 +358,15 @@
 			spare = p;
 	}
 	/* The first witness promises a stop and is replaced. */
-	sim_cut(&s, a, sim_slot_of_process(&s, v[0]), 1800);
+	sim_cut_link(&s, a, sim_slot_of_process(&s, v[0]), 1800);
 	sim_run(&s, 1900);
-	m = *fleet_member(sim_newest(&s), id);
+	m = *fleet_member(sim_newest_state(&s), id);
 	set_witnesses(&s, &m, (int64_t[]){ v[1], v[2], spare });
 	/* Taken back, it must still keep its promise. */
-	m = *fleet_member(sim_newest(&s), id);
+	m = *fleet_member(sim_newest_state(&s), id);
 	set_witnesses(&s, &m, (int64_t[]){ v[1], v[2], v[0] });
-	sim_cut(&s, a, sim_slot_of_process(&s, v[2]), 5000);
-	s.log_down_until = s.now + 10000;
+	sim_cut_link(&s, a, sim_slot_of_process(&s, v[2]), 5000);
+	s.log_down_until_ms = s.now_ms + 10000;
 	sim_run(&s, 5000);
 	breaches = s.breaches;
 	sim_finish(&s);
@@ -395,7 +398,7 @@
 
 		start_quietly(&s, seed, 0);
 		id = s.nodes[0].member.self_id;
-		m = fleet_member(sim_newest(&s), id);
+		m = fleet_member(sim_newest_state(&s), id);
 		other_witnesses(&s, m, ids);
 		sim_kill(&s, sim_slot_of_process(&s, ids[0]));
 		sim_kill(&s, sim_slot_of_process(&s, ids[1]));
@@ -405,7 +408,7 @@
 							.id = { ids[0], ids[1],
 								ids[2] } }));
 		sim_run(&s, 30000);
-		m = fleet_member(sim_newest(&s), id);
+		m = fleet_member(sim_newest_state(&s), id);
 		g_assert_nonnull(m);
 		g_assert_cmpuint(m->old_witnesses.n, ==, 0);
 		g_assert_cmpuint(s.breaches, ==, 0);
@@ -431,10 +434,11 @@
 
 		start_quietly(&s, seed, 0);
 		lapses = counters[COUNTER_lease_lapses];
-		m = *fleet_member(sim_newest(&s), s.nodes[0].member.self_id);
+		m = *fleet_member(sim_newest_state(&s),
+				  s.nodes[0].member.self_id);
 		other_witnesses(&s, &m, ids);
 		set_witnesses(&s, &m, ids);
-		m = *fleet_member(sim_newest(&s), m.id);
+		m = *fleet_member(sim_newest_state(&s), m.id);
 		g_assert_cmpuint(m.old_witnesses.n, ==, 0);
 		sim_run(&s, 2000);
 		g_assert_cmpuint(counters[COUNTER_lease_lapses], ==, lapses);
@@ -469,8 +473,8 @@
 	uint32_t i, n = 0;
 
 	start_quietly(&s, seed, rules);
-	m = *fleet_member(sim_newest(&s), s.nodes[4].member.self_id);
-	sv = fleet_service(sim_newest(&s), "records");
+	m = *fleet_member(sim_newest_state(&s), s.nodes[4].member.self_id);
+	sv = fleet_service(sim_newest_state(&s), "records");
 	for (i = 0; i < sv->n_shards; i++)
 		if (sv->shards[i].owner == m.id)
 			heir = sv->shards[i].successor;
@@ -478,18 +482,18 @@
 		if (s.nodes[i].member.self_id != heir && n < 3)
 			old[n++] = process_of(&s, i);
 	set_witnesses(&s, &m, old);
-	m = *fleet_member(sim_newest(&s), m.id);
+	m = *fleet_member(sim_newest_state(&s), m.id);
 	for (i = 0; i < 3; i++)
 		w.id[i] = process_of(&s, 5 + i);
 	sim_append(&s, record_witnesses(m.id, m.witness_offset, &w));
-	for (end = s.now + 5000; s.now < end && !settles(&s, m.id);)
+	for (end = s.now_ms + 5000; s.now_ms < end && !settles(&s, m.id);)
 		sim_step(&s);
 	g_assert_true(settles(&s, m.id));
-	s.nodes[4].log_cut = true;
-	s.nodes[4].behind_until = s.now + 20000;
+	s.nodes[4].log_unreachable = true;
+	s.nodes[4].no_records_until_ms = s.now_ms + 20000;
 	for (i = 0; i < 3; i++) {
 		put_behind(&s, old[i]);
-		sim_cut(&s, 4, 5 + i, 20000);
+		sim_cut_link(&s, 4, 5 + i, 20000);
 	}
 	sim_run(&s, 6000);
 	breaches = s.breaches;
@@ -534,10 +538,10 @@
 
 		start_quietly(&s, seed, 0);
 		n = &s.nodes[4].member;
-		m = fleet_member(sim_newest(&s), n->self_id);
+		m = fleet_member(sim_newest_state(&s), n->self_id);
 		sim_append(&s, record_witnesses(n->self_id, m->witness_offset,
 						&log));
-		for (end = s.now + 10000; s.now < end;) {
+		for (end = s.now_ms + 10000; s.now_ms < end;) {
 			seen = s.log->len;
 			longest = MAX(longest, member_lease_end_ms(n));
 			sim_step(&s);
@@ -587,14 +591,14 @@
 	int slot;
 
 	start_quietly(&s, 3, 0);
-	slot = sim_server(&s, shard);
+	slot = sim_serving_slot(&s, shard);
 	n = &s.nodes[slot].member;
 	to = s.nodes[(slot + 1) % 5].member.self_id;
 	g_array_append_val(shards, shard);
 	g_assert_true(member_can_move_shard(n, shard));
 	g_assert_true(member_move_shards(n, to, shards, n->now_ms));
 	sim_run(&s, 5000);
-	g_assert_cmpint(sim_server(&s, shard), ==, (slot + 1) % 5);
+	g_assert_cmpint(sim_serving_slot(&s, shard), ==, (slot + 1) % 5);
 	sim_finish(&s);
 	g_array_unref(shards);
 }
@@ -614,7 +618,7 @@
 	uint32_t i, rank;
 
 	start_quietly(&s, 5, 0);
-	f = sim_newest(&s);
+	f = sim_newest_state(&s);
 	doc = json_deep_copy(f->document);
 	json_object_set_new(doc, "source", json_integer(1));
 	s.published = doc;
@@ -631,7 +635,7 @@
 						     s.nodes[i].member.now_ms);
 		sim_run(&s, 100);
 	}
-	g_assert_cmpint(sim_newest(&s)->source_offset, >=, 8);
+	g_assert_cmpint(sim_newest_state(&s)->source_offset, >=, 8);
 	json_decref(doc);
 	sim_finish(&s);
 }
@@ -675,19 +679,19 @@
 	uint32_t n;
 
 	start_quietly(&s, 5, 0);
-	f = sim_newest(&s);
+	f = sim_newest_state(&s);
 	older = more_routes(f, 1, 0);
 	newer = more_routes(f, 2, 4000);
 	publish(&s, 1, 11, newer);
-	member_tick(&s.nodes[1].member, sim_local(&s.nodes[1]));
+	member_tick(&s.nodes[1].member, sim_node_now_ms(&s.nodes[1]));
 	sim_kill(&s, 1);
 	sim_run(&s, 200);
-	n = sim_newest(&s)->configuration.n_classes;
+	n = sim_newest_state(&s)->configuration.n_classes;
 	g_assert_cmpuint(n, >, 0);
 	g_assert_cmpuint(n, <, 4000);
 	publish(&s, 2, 10, older);
 	sim_run(&s, 200);
-	g_assert_cmpuint(sim_newest(&s)->configuration.n_classes, >=, n);
+	g_assert_cmpuint(sim_newest_state(&s)->configuration.n_classes, >=, n);
 	json_decref(older);
 	json_decref(newer);
 	sim_finish(&s);
@@ -704,15 +708,16 @@
 	uint32_t i;
 
 	start_quietly(&s, 5, 0);
-	newer = more_routes(sim_newest(&s), 2, 4000);
+	newer = more_routes(sim_newest_state(&s), 2, 4000);
 	publish(&s, 1, 11, newer);
-	member_tick(&s.nodes[1].member, sim_local(&s.nodes[1]));
+	member_tick(&s.nodes[1].member, sim_node_now_ms(&s.nodes[1]));
 	sim_kill(&s, 1);
 	for (i = 0; i < SIM_NODES; i++)
 		if (s.nodes[i].up)
 			publish(&s, i, 10, newer);
 	sim_run(&s, 10000);
-	g_assert_cmpuint(sim_newest(&s)->configuration.n_classes, ==, 4000);
+	g_assert_cmpuint(sim_newest_state(&s)->configuration.n_classes, ==,
+			 4000);
 	json_decref(newer);
 	sim_finish(&s);
 }
@@ -763,15 +768,15 @@
 		int slot;
 
 		start_quietly(&s, seed, 0);
-		slot = sim_server(&s, 0);
+		slot = sim_serving_slot(&s, 0);
 		id = s.nodes[slot].member.self_id;
-		m = fleet_member(sim_newest(&s), id);
-		s.nodes[slot].behind_until = s.now + 20000;
+		m = fleet_member(sim_newest_state(&s), id);
+		s.nodes[slot].no_records_until_ms = s.now_ms + 20000;
 		sim_append(&s, record_witnesses(id, m->witness_offset, &log));
 		sim_run(&s, 15000);
 		g_assert_cmpuint(s.breaches, ==, 0);
-		g_assert_nonnull(fleet_member(sim_newest(&s), id));
-		g_assert_cmpint(sim_server(&s, 0), ==, slot);
+		g_assert_nonnull(fleet_member(sim_newest_state(&s), id));
+		g_assert_cmpint(sim_serving_slot(&s, 0), ==, slot);
 		sim_finish(&s);
 	}
 }
--- a/t/test-start.c
+++ b/t/test-start.c
@@ -14,7 +14,7 @@
 		struct sim_log_record *r = g_ptr_array_index(s->log, i);
 
 		member_on_record(&nd->member, i, r->id, r->record,
-				 sim_local(nd));
+				 sim_node_now_ms(nd));
 	}
 }
 
@@ -31,7 +31,7 @@
 		if (sim_slot_of_host(m->host) == (int)slot)
 			msg.from = m->id;
 	msg.offset = s->nodes[slot].member.fleet.applied + 1;
-	member_on_message(&nd->member, &msg, sim_local(nd));
+	member_on_message(&nd->member, &msg, sim_node_now_ms(nd));
 	sim_run(s, 200);
 }
 
@@ -42,20 +42,20 @@
 	int64_t end;
 	uint32_t i;
 
-	sim_init_granted(&s, 3, 0);
-	g_assert_true(sim_converge(&s, 20000));
+	sim_init_grant_by_heartbeat(&s, 3, 0);
+	g_assert_true(sim_run_until_served(&s, 20000));
 	for (i = 0; i < SIM_NODES; i++)
 		sim_kill(&s, i);
 	for (i = 0; i < 2; i++) {
 		sim_start(&s, i);
-		s.nodes[i].log_cut = true;
+		s.nodes[i].log_unreachable = true;
 	}
 	apply_first(&s, 0, s.log->len / 2);
 	ask_peer(&s, 1, 0);
 	g_assert_cmpint(s.nodes[1].member.fleet.applied, ==,
 			s.log->len / 2 - 1);
 	g_assert_false(member_is_current(&s.nodes[1].member));
-	s.nodes[0].log_cut = false;
+	s.nodes[0].log_unreachable = false;
 	sim_run(&s, 100);
 	end = s.log->len - 1;
 	g_assert_cmpint(s.nodes[0].member.fleet.applied, ==, end);
@@ -70,12 +70,12 @@
 {
 	struct sim s;
 
-	sim_init_granted(&s, 5, 0);
-	g_assert_true(sim_converge(&s, 20000));
+	sim_init_grant_by_heartbeat(&s, 5, 0);
+	g_assert_true(sim_run_until_served(&s, 20000));
 	sim_run(&s, 10000);
 	sim_kill(&s, 1);
 	sim_start(&s, 1);
-	s.nodes[1].log_cut = true;
+	s.nodes[1].log_unreachable = true;
 	ask_peer(&s, 1, 0);
 	g_assert_cmpint(s.nodes[1].member.fleet.applied, ==, s.log->len - 1);
 	g_assert_true(member_is_current(&s.nodes[1].member));
@@ -90,8 +90,8 @@
 	struct sim s;
 	uint32_t i;
 
-	sim_init_granted(&s, 9, 0);
-	g_assert_true(sim_converge(&s, 20000));
+	sim_init_grant_by_heartbeat(&s, 9, 0);
+	g_assert_true(sim_run_until_served(&s, 20000));
 	n = &s.nodes[0].member;
 	for (i = 0; i < 2; i++)
 		g_ptr_array_add(n->snapshot_parts,
@@ -132,8 +132,8 @@
 	json_t *r;
 	uint32_t before, i;
 
-	sim_init_granted(&s, 9, 0);
-	g_assert_true(sim_converge(&s, 20000));
+	sim_init_grant_by_heartbeat(&s, 9, 0);
+	g_assert_true(sim_run_until_served(&s, 20000));
 	n = &s.nodes[0].member;
 	for (i = 0; i < 2; i++)
 		g_ptr_array_add(n->snapshot_parts,
@@ -162,14 +162,14 @@
 	uint32_t i;
 	int64_t most = 0;
 
-	sim_init_granted(&s, 11, 0);
-	g_assert_true(sim_converge(&s, 20000));
+	sim_init_grant_by_heartbeat(&s, 11, 0);
+	g_assert_true(sim_run_until_served(&s, 20000));
 	for (i = 0; i < SIM_NODES; i++)
 		if (!assign_rank(&s.nodes[i].member.fleet, "snapshot",
 				 s.nodes[i].member.self_id))
-			s.nodes[i].log_cut = true;
+			s.nodes[i].log_unreachable = true;
 	for (i = 0; i < 2 * RING; i++) {
-		const struct fleet *f = sim_newest(&s);
+		const struct fleet *f = sim_newest_state(&s);
 
 		sim_configure(&s, NULL);
 		sim_run(&s, 100);
@@ -189,16 +189,16 @@
 	struct sim s;
 	uint32_t i;
 
-	sim_init_granted(&s, 13, 0);
-	g_assert_true(sim_converge(&s, 20000));
+	sim_init_grant_by_heartbeat(&s, 13, 0);
+	g_assert_true(sim_run_until_served(&s, 20000));
 	for (i = 0; i < RING; i++)
 		sim_configure(&s, NULL);
 	sim_run(&s, 5000);
-	state = fleet_snapshot(sim_newest(&s));
+	state = fleet_snapshot(sim_newest_state(&s));
 	sim_kill(&s, 1);
 	sim_start(&s, 1);
 	g_assert_cmpint(member_load_snapshot(&s.nodes[1].member, state,
-					     sim_local(&s.nodes[1])),
+					     sim_node_now_ms(&s.nodes[1])),
 			==, RESULT_OK);
 	json_decref(state);
 	f = &s.nodes[1].member.fleet;
@@ -207,7 +207,7 @@
 	/* Nor one that it hears of from a peer. */
 	sim_kill(&s, 1);
 	sim_start(&s, 1);
-	s.nodes[1].log_cut = true;
+	s.nodes[1].log_unreachable = true;
 	ask_peer(&s, 1, 0);
 	g_assert_cmpint(f->applied, >, RING);
 	g_assert_cmpint(f->applied - f->snapshot_upto, <, 120);
@@ -222,8 +222,8 @@
 	struct sim s;
 	uint32_t i;
 
-	sim_init_granted(&s, 11, 0);
-	g_assert_true(sim_converge(&s, 20000));
+	sim_init_grant_by_heartbeat(&s, 11, 0);
+	g_assert_true(sim_run_until_served(&s, 20000));
 	n = &s.nodes[0].member;
 	for (i = 0; i < 40; i++) {
 		member_append_done(n, APPEND_JOIN, RESULT_CONFLICT, n->now_ms);
@@ -245,8 +245,8 @@
 	struct sim s;
 	uint32_t i;
 
-	sim_init_granted(&s, 15, 0);
-	g_assert_true(sim_converge(&s, 20000));
+	sim_init_grant_by_heartbeat(&s, 15, 0);
+	g_assert_true(sim_run_until_served(&s, 20000));
 	n = &s.nodes[0].member;
 	for (i = 0; i < 20; i++) {
 		member_append_done(n, APPEND_SNAPSHOT, RESULT_CONFLICT,
@@ -264,8 +264,8 @@
 	struct sim s;
 	uint32_t i;
 
-	sim_init_granted(&s, 14, 0);
-	g_assert_true(sim_converge(&s, 20000));
+	sim_init_grant_by_heartbeat(&s, 14, 0);
+	g_assert_true(sim_run_until_served(&s, 20000));
 	n = &s.nodes[0].member;
 	for (i = 0; i < 40; i++) {
 		member_append_done(n, APPEND_PUBLISHED, RESULT_CONFLICT,
@@ -287,8 +287,8 @@
 	GString *text = g_string_new(NULL);
 	struct sim s;
 
-	sim_init_granted(&s, 12, 0);
-	g_assert_true(sim_converge(&s, 20000));
+	sim_init_grant_by_heartbeat(&s, 12, 0);
+	g_assert_true(sim_run_until_served(&s, 20000));
 	n = &s.nodes[0].member;
 	g_string_set_size(text, 60000);
 	memset(text->str, 'x', text->len);
@@ -312,11 +312,11 @@
 	uint32_t i;
 	int64_t end;
 
-	sim_init_granted(&s, 13, 0);
-	g_assert_true(sim_converge(&s, 20000));
+	sim_init_grant_by_heartbeat(&s, 13, 0);
+	g_assert_true(sim_run_until_served(&s, 20000));
 	sim_run(&s, 1000);
 	for (i = 0; i < SIM_NODES; i++)
-		s.nodes[i].log_cut = !s.nodes[i].member.is_log_reader;
+		s.nodes[i].log_unreachable = !s.nodes[i].member.is_log_reader;
 	for (i = 0; i < 1000; i++)
 		g_string_append_printf(text, "/path%u/,", i);
 	sim_append(&s, json_pack("{s:s,s:s}", "type", "padding", "text",
@@ -338,8 +338,8 @@
 	struct sim s;
 	uint32_t i;
 
-	sim_init_granted(&s, 12, 0);
-	g_assert_true(sim_converge(&s, 20000));
+	sim_init_grant_by_heartbeat(&s, 12, 0);
+	g_assert_true(sim_run_until_served(&s, 20000));
 	n = &s.nodes[0].member;
 	g_assert_true(member_reads_operator_stream(n));
 	for (i = 0; i < 100; i++) {
