--- a/t/sim-backend.c
+++ b/t/sim-backend.c
@@ -5,22 +5,27 @@
 #include "t/sim.h"
 
 /*
- * Backend servers of a simulated fleet that hold keys by grants in the answers
- * to their heartbeats, as the users' platform has them. They live on when the
- * process beside them is killed, and end and start again on their own.
+ * Backend servers of a simulated fleet that hold keys by grants, as on the
+ * users' platform: granted in the answers to their heartbeats, or by calls.
+ * They go on when the process beside them is killed, and restart independently
+ * of it.
  */
 
 #define HEARTBEAT_INTERVAL_MS 870
 #define HOLD_MAX_MS 10000
 #define N_KEYS 65536
-/* A server's clock may run 2% slow. */
+/* A server's clock may run 2% slow, as GRANT_CLOCK_DRIFT_FACTOR allows. */
 #define MAX_CLOCK_SLOW_FACTOR 1.02
 #define LATE_ANSWER_PROBABILITY 0.1
 #define LATE_ANSWER_MAX_MS 900
-/* A call leaves within this of being worked out, as in gate/grant-call.c. */
+/* Time between planning a call and sending it, as in gate/grant-call.c. */
 #define SEND_TIMEOUT_MS 150
 #define CALL_TIMEOUT_MS 250
-/* Calls in a thousand, while messages are lost, that end otherwise. */
+/*
+ * While messages are lost, this many calls in a thousand are applied late and
+ * not answered in time, are applied but their answer is lost, are lost
+ * themselves, or are sent late.
+ */
 #define APPLIED_LATE_PER_MILLE 100
 #define ANSWER_LOST_PER_MILLE 50
 #define CALL_LOST_PER_MILLE 50
@@ -64,7 +69,10 @@
 	return NULL;
 }
 
-/* A request for a key that an answer leaves out would be turned away. */
+/*
+ * Counts the shards that the node counts as held by the server though the
+ * answer omits them. The server would refuse requests for their keys.
+ */
 static void count_omitted_held(struct sim_node *nd, const GArray *rows)
 {
 	uint32_t i;
@@ -80,7 +88,10 @@
 	}
 }
 
-/* What the node beside a server does with its heartbeat. */
+/*
+ * Passes a heartbeat to the node beside the server. Returns the rows of the
+ * answer, NULL if it has none, and sets *hold_ms to their duration.
+ */
 static GArray *answer_heartbeat(struct sim_node *nd, int64_t *hold_ms)
 {
 	struct sim *s = nd->sim;
@@ -153,7 +164,7 @@
 	s->top_fence_instance[i] = nd->backend.instance;
 }
 
-/* The answer to a heartbeat reaches the server. */
+/* The server receives the answer to its heartbeat. */
 static void apply_answer(struct sim_node *nd)
 {
 	struct sim *s = nd->sim;
@@ -201,7 +212,7 @@
 		return;
 	b->answer_rows = answer_heartbeat(nd, &b->answer_hold_ms);
 	b->answer_at_ms = s->now_ms + g_rand_int_range(s->rand, 1, 20);
-	/* Some answers come late, and some never. */
+	/* Some answers are late, and some are lost. */
 	if (s->loss > 0 && draw < LATE_ANSWER_PROBABILITY)
 		b->answer_at_ms +=
 			g_rand_int_range(s->rand, 0, LATE_ANSWER_MAX_MS);
@@ -211,7 +222,7 @@
 	}
 }
 
-/* A call is sent: how it will arrive, be carried out and answered. */
+/* Sends a call and decides when it will arrive, be applied and be answered. */
 static void send_call(struct sim_node *nd, const struct grant_call *c)
 {
 	struct sim *s = nd->sim;
@@ -223,7 +234,7 @@
 	uint32_t draw = s->loss > 0 ? g_rand_int_range(s->rand, 0, 1000) : 999;
 
 	if (nd->known_instance != b->instance || !b->up) {
-		/* No connection to the life that is meant is left. */
+		/* The instance that the call is meant for has stopped. */
 		k.outcome = GRANT_NOT_APPLIED;
 		k.answer_at_ms = s->now_ms + SIM_STEP_MS;
 		g_array_append_val(b->calls, k);
@@ -231,7 +242,7 @@
 	}
 	k.arrives_at_ms =
 		s->now_ms + g_rand_int_range(s->rand, 0, SEND_TIMEOUT_MS);
-	/* A process frozen, or slow to connect, between planning and sending. */
+	/* The process is frozen, or slow to connect, before it can send. */
 	if (s->loss > 0 &&
 	    g_rand_int_range(s->rand, 0, 1000) < SENT_LATE_PER_MILLE)
 		k.arrives_at_ms +=
@@ -258,7 +269,6 @@
 	g_array_append_val(b->calls, k);
 }
 
-/* The process beside a server calls what is due. */
 void sim_backend_send_calls(struct sim_node *nd)
 {
 	struct grant_call c;
@@ -294,9 +304,9 @@
 			check_fence(nd, i, k->call.row.fence);
 		if (s->verbose && b->held_until_ms[i] <= s->now_ms)
 			g_print("%7" G_GINT64_FORMAT
-				" server %u is given shard %u under "
+				" server %u is granted shard %u under "
 				"%" G_GINT64_FORMAT " until %" G_GINT64_FORMAT
-				", sent to arrive %" G_GINT64_FORMAT "\n",
+				", arrival at %" G_GINT64_FORMAT "\n",
 				(gint64)s->now_ms, nd->slot, i,
 				(gint64)k->call.row.fence, (gint64)until,
 				(gint64)k->arrives_at_ms);
@@ -346,7 +356,6 @@
 	}
 }
 
-/* One step of the server beside a node. */
 void sim_backend_step(struct sim_node *nd)
 {
 	struct sim_backend *b = &nd->backend;
@@ -361,7 +370,6 @@
 		send_heartbeat(nd);
 }
 
-/* End a server and start another life of it, which holds nothing. */
 void sim_backend_restart(struct sim_node *nd)
 {
 	struct sim *s = nd->sim;
@@ -395,7 +403,6 @@
 	g_free(nd->backend.fence);
 }
 
-/* Whether the server beside a node holds a shard. */
 bool sim_backend_holds(const struct sim_node *nd, uint32_t shard)
 {
 	return nd->backend.up &&
--- a/t/sim-faults.c
+++ b/t/sim-faults.c
@@ -3,14 +3,17 @@
 #include "state/records.h"
 #include "t/sim.h"
 
-/* What can be done to a simulated fleet, how it is mended, and a look at it. */
+/* Faults of a simulated fleet, records for tests, output for failing seeds. */
 
 static double random_double(struct sim *s)
 {
 	return g_rand_double(s->rand);
 }
 
-/* A node asks to be a member once its server has announced itself. */
+/*
+ * Whether the node may join: beside a server that checks grants only after its
+ * first heartbeat.
+ */
 static bool server_announced(const struct sim_node *nd)
 {
 	return !sim_has_backend(nd) || nd->known_instance;
@@ -49,7 +52,6 @@
 	sim_start(s, slot);
 }
 
-/* Kill every process at once, and the servers if told; start all later. */
 void sim_restart_all(struct sim *s, bool servers, int64_t down_ms)
 {
 	uint32_t i;
@@ -66,7 +68,6 @@
 	}
 }
 
-/* Do one harm picked at random, or mend one. */
 void sim_inject_fault(struct sim *s)
 {
 	uint32_t slot = g_rand_int_range(s->rand, 0, SIM_NODES);
@@ -99,7 +100,7 @@
 					 : NULL);
 		break;
 	case 7:
-		/* Two operators race from the same base. */
+		/* Two operators publish on the same base version. */
 		sim_configure(s, sim_data_centres[slot % 4]);
 		sim_configure(s, NULL);
 		break;
@@ -107,7 +108,10 @@
 		s->nodes[slot].no_records_until_ms = s->now_ms + 2 * ms;
 		break;
 	case 9:
-		/* A move that a node behind does not hear of, then a loss. */
+		/*
+		 * A node that gets no records does not learn of the moves that
+		 * this configuration causes; a later fault may kill an owner.
+		 */
 		s->nodes[slot].no_records_until_ms = s->now_ms + 2 * ms;
 		sim_configure(s, sim_data_centres[(slot + 1) % 4]);
 		break;
@@ -134,8 +138,9 @@
 }
 
 /*
- * What an operator does with declare-lost: state that processes which no
- * longer run, and whose witnesses are lost too, have stopped.
+ * Does what an operator does with declare-lost: records that members whose
+ * process no longer runs have stopped, in case their witnesses are lost too and
+ * cannot confirm it.
  */
 static void declare_lost(struct sim *s)
 {
@@ -151,7 +156,6 @@
 	json_decref(r);
 }
 
-/* End every fault: all up, connected and wanted, no message lost. */
 void sim_clear_faults(struct sim *s)
 {
 	uint32_t i;
@@ -177,7 +181,6 @@
 	declare_lost(s);
 }
 
-/* A member of the first service that is none of three. */
 int64_t sim_other_member(struct sim *s, int64_t a, int64_t b, int64_t c)
 {
 	int64_t id;
@@ -191,7 +194,6 @@
 	return 0;
 }
 
-/* Append a move of one shard, from where it is now. */
 void sim_append_move(struct sim *s, uint32_t shard, int64_t owner,
 		     int64_t successor)
 {
@@ -203,14 +205,12 @@
 	sim_append(s, r);
 }
 
-/* Append a record of the test's own, which is stolen. */
 void sim_append(struct sim *s, json_t *record)
 {
 	sim_add_record(s, "", record);
 	json_decref(record);
 }
 
-/* Print who holds what, for a failing seed. */
 void sim_print_nodes(struct sim *s)
 {
 	uint32_t i, j;
--- a/t/sim.c
+++ b/t/sim.c
@@ -7,7 +7,7 @@
 
 #define N_SHARDS 12
 #define LOST_ANSWER_RETRY_MS 700
-/* As in node/streams.c. */
+/* As DEAF_MS in node/streams.c. */
 #define BEHIND_READ_DELAY_MS 200
 
 const char *const sim_data_centres[SIM_DATA_CENTRES] = { "hakata", "tenjin",
@@ -18,7 +18,6 @@
 	return nd->clock_base_ms + (int64_t)(nd->sim->now_ms * nd->clock_rate);
 }
 
-/* Whether the node stands beside a server that holds by grants. */
 bool sim_has_backend(const struct sim_node *nd)
 {
 	return nd->sim->uses_grants && nd->slot < SIM_KEYED;
@@ -51,7 +50,7 @@
 
 	if (m)
 		return sim_slot_of_host(m->host);
-	/* A member that is gone still has an address. */
+	/* The record of a removed member still has its host. */
 	if (id < 1 || id > s->log->len)
 		return -1;
 	r = ((struct sim_log_record *)g_ptr_array_index(s->log, id - 1))->record;
@@ -108,7 +107,10 @@
 	if (!down) {
 		sim_add_record(s, id, record);
 		if (s->loss > 0 && random_double(s) < 0.1) {
-			/* The answer is lost; the writer appends again. */
+			/*
+			 * The answer is lost, so the writer appends the
+			 * record again.
+			 */
 			sim_add_record(s, id, record);
 			a->answer_at_ms += LOST_ANSWER_RETRY_MS;
 		}
@@ -171,7 +173,6 @@
 	.note = op_note,
 };
 
-/* Start the process of a slot, with nothing kept from an earlier one. */
 void sim_start(struct sim *s, uint32_t slot)
 {
 	struct sim_node *nd = &s->nodes[slot];
@@ -188,7 +189,7 @@
 	g_strlcpy(me.service, slot < 5 ? "records" : "archive",
 		  sizeof(me.service));
 	timing.snapshot_records = 60;
-	/* Heartbeats come every 0.87 s, so leases are longer there. */
+	/* Leases must outlast several heartbeats, which come every 0.87 s. */
 	if (s->uses_grants)
 		timing.lease_ms = 3000;
 	member_init(&nd->member, &me, &timing, &ops, nd, sim_node_now_ms(nd),
@@ -206,13 +207,12 @@
 	nd->known_instance = 0;
 	if (s->uses_grants && !sim_has_backend(nd))
 		member_set_server_instance(&nd->member, "life");
-	/* A server announces itself before its node joins. */
+	/* With grants, a node joins only after its server's first heartbeat. */
 	if (!sim_has_backend(nd))
 		member_set_membership_wanted(&nd->member, true,
 					     sim_node_now_ms(nd));
 }
 
-/* End the process of a slot at once, as kill -9 does. */
 void sim_kill(struct sim *s, uint32_t slot)
 {
 	if (!s->nodes[slot].up)
@@ -222,7 +222,6 @@
 	s->nodes[slot].up = false;
 }
 
-/* Freeze a process; messages to it wait. */
 void sim_pause(struct sim *s, uint32_t slot, int64_t ms)
 {
 	s->nodes[slot].paused_until_ms = s->now_ms + ms;
@@ -254,7 +253,6 @@
 	return doc;
 }
 
-/* An operator publishes a configuration based on what some node knows. */
 void sim_configure(struct sim *s, const char *out_of_service)
 {
 	json_t *doc = configuration_document(s, out_of_service);
@@ -383,8 +381,10 @@
 }
 
 /*
- * Whether a node leaves the log alone for now, as node/streams.c does: others
- * pass records on to it, and none has told it that it lacks any.
+ * Whether a node skips this read of the log, by the rules of node/streams.c: a
+ * relay sends it the records, the interval of its idle reads has not passed, no
+ * read was requested, and it has not known for longer than
+ * BEHIND_READ_DELAY_MS that it lacks records.
  */
 static bool skips_log_read(const struct sim_node *nd)
 {
@@ -451,7 +451,10 @@
 	}
 }
 
-/* Now and then hand the backend server a request that lasts for a while. */
+/*
+ * Starts requests at random for shards that the node may serve. Each lasts up
+ * to 2 s, and on the clock of the node no longer than it may serve the shard.
+ */
 static void start_requests(struct sim_node *nd)
 {
 	struct sim *s = nd->sim;
@@ -494,7 +497,7 @@
 				 &fence, &end);
 }
 
-/* Print the records, for a failing seed. */
+/* Prints the records of the log, for a failing seed. */
 static void print_log(struct sim *s)
 {
 	uint32_t i;
@@ -509,8 +512,9 @@
 }
 
 /*
- * A backend server that checks fences takes a key only under a higher fence
- * than any it knows, and two servers must never have been told the same one.
+ * Backend servers that check fences reject a lower fence than the highest they
+ * have seen. So the fence of a shard must never decrease, and no two nodes may
+ * serve the shard under the same fence.
  */
 static void check_fence(struct sim *s, uint32_t shard, struct sim_node *nd)
 {
@@ -584,7 +588,6 @@
 	}
 }
 
-/* The newest state that any node has. */
 struct fleet *sim_newest_state(struct sim *s)
 {
 	struct fleet *best = NULL;
@@ -599,7 +602,6 @@
 	return best;
 }
 
-/* The node that is a member now, -1 none. */
 int sim_slot_of_member(struct sim *s, int64_t member)
 {
 	uint32_t i;
@@ -610,7 +612,6 @@
 	return -1;
 }
 
-/* The node that a process runs on, -1 none. */
 int sim_slot_of_process(struct sim *s, int64_t process)
 {
 	uint32_t i;
@@ -621,14 +622,12 @@
 	return -1;
 }
 
-/* Cut two nodes off from each other. */
 void sim_cut_link(struct sim *s, uint32_t a, uint32_t b, int64_t ms)
 {
 	s->link_cut_until_ms[a][b] = s->now_ms + ms;
 	s->link_cut_until_ms[b][a] = s->now_ms + ms;
 }
 
-/* Advance real time by one step. */
 void sim_step(struct sim *s)
 {
 	uint32_t i;
@@ -660,7 +659,6 @@
 		sim_step(s);
 }
 
-/* The node that serves a shard, -1 none. */
 int sim_serving_slot(struct sim *s, uint32_t shard)
 {
 	int64_t fence, end;
@@ -679,7 +677,6 @@
 	return -1;
 }
 
-/* How many shards nobody serves. */
 uint32_t sim_n_unserved(struct sim *s)
 {
 	uint32_t n = 0;
@@ -690,8 +687,7 @@
 	return n;
 }
 
-/* Step until every shard is served; false when that takes too long. */
-/* Whether the log says of every move that nobody before still serves. */
+/* Whether the log states for every move that no predecessor still serves. */
 static bool all_settled(struct sim *s)
 {
 	struct fleet_service *sv =
