--- a/t/backend-standin.c
+++ b/t/backend-standin.c
@@ -12,10 +12,17 @@
 #include "net/httpd.h"
 
 /*
- * Stands in for a backend server: slots, a cold start, shedding, deadlines,
- * fences, stalls, and a ledger of everything it ran. POST /control: stall_ms=N,
- * cold=1, drop=N (run, then close without an answer), work_ms=N, leave=1,
- * announce=1.
+ * Stands in for a backend server: it runs requests in a number of slots, has a
+ * cold start, sheds requests, checks fences, stalls, and counts in a ledger how
+ * often it ran each request id. POST /control takes:
+ *   stall_ms=N  delays the end of work that starts in the next N ms until after
+ *               them
+ *   cold=1      restarts the cold start
+ *   drop=N      runs the next N requests, then closes their connections without
+ *               an answer
+ *   work_ms=N   mean duration of a request
+ *   leave=1     sends /leave to the node
+ *   announce=1  sends /announce to the node
  */
 
 #define MAX_BODY (8 * 1024 * 1024)
@@ -95,7 +102,7 @@
 	g_autofree char *text = NULL;
 
 	if (j->drop) {
-		/* The work is done; the connection closes without a word. */
+		/* The work is done; close the connection without an answer. */
 		httpd_stream(r, 200, NULL, 10);
 		httpd_end(r, false);
 		return;
@@ -143,7 +150,7 @@
 	double ms = j->probe ? probe_ms : work_ms;
 
 	ms *= 0.7 + 0.6 * g_random_double();
-	/* A server under more than it bears while cold crawls. */
+	/* Work is slow beyond the capacity, which is lower while cold. */
 	if (n_running > capacity())
 		ms *= 10;
 	return ms + MAX(stall, 0);
@@ -159,7 +166,7 @@
 		if (clock_now_ms() - warm_up_since_ms < cold_ms)
 			most_in_cold = MAX(most_in_cold, n_running);
 		if (n_running > OVERLOAD_FACTOR * capacity()) {
-			/* Fallen over: it begins to warm up anew. */
+			/* The overloaded server restarts its cold start. */
 			n_overloads++;
 			warm_up_since_ms = clock_now_ms();
 		}
@@ -254,7 +261,7 @@
 	httpd_reply_text(r, 200, text);
 }
 
-/* The load report tells how things were up to a second ago. */
+/* The load report is up to LOAD_REPORT_INTERVAL_MS old. */
 static void on_load(struct httpd_request *r)
 {
 	static int64_t reported_ms;
--- a/t/load.c
+++ b/t/load.c
@@ -8,8 +8,9 @@
 #include "net/headers.h"
 
 /*
- * Callers: sends requests at a steady rate whatever becomes of them and prints
- * what callers saw. A path may hold %d for a key.
+ * Load generator: sends requests at a constant rate, whether or not earlier
+ * ones have been answered, and prints the outcomes, latencies and the longest
+ * time that a key went without an answer. %d in the path stands for the key.
  */
 
 #define MAX_TARGETS 64
--- a/t/log-standin.c
+++ b/t/log-standin.c
@@ -8,9 +8,11 @@
 #include "net/httpd.h"
 
 /*
- * Stands in for the platform's log: appends and reads by offset over HTTP and
- * JSON, records in memory for a limited time. POST /control makes it misbehave:
- * down=0|1, slow_ms=N, lose=N (answers lost after the write), trim=OFFSET.
+ * Stands in for the platform's log: appends, and reads by offset, over HTTP
+ * with JSON. Records are kept in memory, for the retention time if one is set.
+ * POST /control makes it fail: down=0|1, slow_ms=N (delays answers by N ms),
+ * lose=N (writes the next N appends but answers them with an error),
+ * trim=OFFSET (drops all records before OFFSET).
  */
 
 #define MAX_BODY (8 * 1024 * 1024)
@@ -21,13 +23,14 @@
 	int64_t appended_at_ms;
 };
 
+/* A read or append that has not been answered yet. */
 struct waiter {
 	struct httpd_request *r;
 	int64_t from_offset;
-	int64_t until_ms;
+	int64_t until_ms; /* a read is then answered without records */
 	int64_t not_before_ms;
 	bool is_append;
-	int64_t offset;
+	int64_t offset; /* of the record that was appended */
 };
 
 static struct ev_loop *loop;
--- a/t/platform-server.c
+++ b/t/platform-server.c
@@ -13,22 +13,35 @@
 #include "platform/request.h"
 
 /*
- * Stands in for a backend server on the platform: heartbeats to the node beside
- * it, rows of keys held under fences for a limited time, refusal of keys that
- * it does not hold, ids echoed, and a ledger of all it ran. With --grants call
- * it is told what it holds by calls instead of by the answers to its
- * heartbeats. With --address it names another address than it listens on, for
- * a proxy between. POST /control:
- * work_ms=N, hold=1 (no work ends until hold=0), drain=1 (says that it
- * leaves), crash=1 (starts again at once with another id, holding nothing),
- * mute=0|1 (no heartbeats), extra=N (sends a
- * second answer behind each of N), unsigned=N, lose=N (runs, then closes),
- * cold_ms=N (says that it is cold for so long), late=N (leaves N calls that
- * grant keys unanswered and carries them out 1 s later), refuse=N (refuses N
- * such calls as if it had seen a higher fence), stall=N (stops halfway through
- * each of N long answers). GET /holdings?from=N tells what
- * it came to hold since the Nth line: from when, which keys, until when, in
- * microseconds of CLOCK_BOOTTIME; an end of 0 is the moment of letting go.
+ * Stands in for a backend server on the platform: sends heartbeats to the node
+ * beside it, holds ranges of keys under fences for a limited time, refuses
+ * requests for keys that it does not hold, returns the attempt's id with each
+ * answer, and counts in a ledger how often it ran each attempt. With --grants
+ * call it is granted keys by calls instead of by the answers to its heartbeats.
+ * --address sets the address in its heartbeats if that is not the one that it
+ * listens on, but that of a proxy before it.
+ *
+ * POST /control takes:
+ *   work_ms=N    duration of a request
+ *   hold=0|1     no request ends before hold=0
+ *   drain=0|1    heartbeats report the state "draining"
+ *   crash=1      restarts at once under a new id, without held keys
+ *   mute=0|1     sends no heartbeats before mute=0
+ *   unsigned=N   leaves the signature out of the next N answers
+ *   wrong_id=N   returns another attempt id with the next N answers
+ *   lose=N       runs the next N requests, then closes their connections
+ *                without an answer
+ *   cold_ms=N    heartbeats report that it stays cold for N ms
+ *   late=N       leaves the next N calls that grant keys unanswered and applies
+ *                them 1 s later
+ *   refuse=N     refuses the next N such calls as if it had seen a higher fence
+ *   stall=N      stops halfway through each of the next N answers, which are
+ *                long ones
+ *
+ * GET /holdings?from=N returns the changes of what it holds, from line N on:
+ * time of the change, first key, last key, and the time until which the keys
+ * are held, 0 if they were released. Times are in microseconds of
+ * CLOCK_BOOTTIME.
  */
 
 #define MAX_BODY (8 * 1024 * 1024)
@@ -64,16 +77,16 @@
 static bool draining, mute, by_call;
 static int64_t n_late_grants, n_to_refuse, n_to_stall;
 static double work_ms = 1;
-static int64_t hold; /* work ends once this is 0 */
+static int64_t hold; /* no request ends before this is 0 */
 static int64_t n_to_lose, n_unsigned, n_wrong_id, cold_ms;
-static GArray *held_rows; /* struct grant_row */
-static int64_t held_until_ms; /* all of held, by heartbeat */
+static GArray *held_rows; /* struct grant_row, with grants by heartbeat */
+static int64_t held_until_ms; /* all of held_rows */
 static struct held_key {
 	int64_t until_ms;
 	int64_t fence;
-} keys[N_KEYS]; /* by call */
+} keys[N_KEYS]; /* with grants by call */
 static GString *released;
-static GPtrArray *holdings; /* lines, see above */
+static GPtrArray *holdings; /* lines of GET /holdings */
 static GHashTable *ledger;
 static uint64_t n_served, n_misdirected, n_cancelled, n_released, n_instances;
 
@@ -118,7 +131,7 @@
 	return false;
 }
 
-/* Neighbouring keys held under one fence, as rows. */
+/* Rows of neighbouring keys that are held under one fence. */
 static json_t *call_rows_json(void)
 {
 	json_t *list = json_array();
@@ -175,7 +188,10 @@
 	return false;
 }
 
-/* Let go what an answer left out, with a handover for whoever comes next. */
+/*
+ * Releases the keys that an answer omits, with a handover for the next owner of
+ * each range. Returns whether there were any.
+ */
 static bool release_omitted(const GArray *rows)
 {
 	bool any = false;
@@ -322,7 +338,7 @@
 		    &heartbeat_ops, NULL);
 }
 
-/* The first half of a long answer, and never the second. */
+/* Sends the first half of a long answer and leaves the answer open. */
 static void answer_half(struct httpd_request *r)
 {
 	GPtrArray *headers = headers_new();
@@ -397,7 +413,10 @@
 	struct job *j;
 
 	if (expect && strcmp(expect, id)) {
-		/* Another server than the one meant: the status alone says so. */
+		/*
+		 * Meant for another instance. The status alone shows that: the
+		 * answer has no not-run header.
+		 */
 		GPtrArray *headers = headers_new();
 
 		n_misdirected++;
@@ -494,7 +513,7 @@
 	return s ? g_ascii_strtoll(s, NULL, 10) : fallback;
 }
 
-/* An answer to the life before is not for the next one. */
+/* The answer to a heartbeat of the previous instance must not be used. */
 static void cancel_heartbeat(void)
 {
 	if (!heartbeat_in_flight)
@@ -526,6 +545,7 @@
 	httpd_reply_text(r, 200, "done\n");
 }
 
+/* A call that grants or releases a range of keys. */
 struct range_call {
 	int64_t from, to, fence, until_ms;
 	ev_timer timer;
@@ -586,7 +606,7 @@
 		n_to_refuse -= n_to_refuse > 0;
 		httpd_reply_text(r, STATUS_FENCED, "");
 	} else if (n_late_grants > 0) {
-		/* The request stays open until its sender gives up. */
+		/* Leaves the request open until the sender's timeout. */
 		n_late_grants--;
 		ev_timer_init(&o->timer, on_late_grant, LATE_GRANT_S, 0);
 		o->timer.data = o;
--- a/t/platform-store.c
+++ b/t/platform-store.c
@@ -10,14 +10,23 @@
 /*
  * Stands in for the platform's metadata store as its protocol page describes
  * it: keyed topics with one partition each, conditional appends, long polls,
- * the newest record of each key, and a short history. POST /publish?key=K puts
- * an operator's record (an empty body removes it). POST /control makes it
- * misbehave: down=0|1, lose=N (answers lost after the write), late_ms=N (the
- * next lose takes effect that much later, if its condition still holds),
- * trim=1 (forget the history, keep the newest), busy=0|1 (429), deaf=1 (the
- * reads that wait now are never answered, and their connections stay open),
- * refuse=0|1 (appends get 503), hold=0|1 (the newest records are told later),
- * trickle_ms=N (the newest records of the fleet take so long to arrive).
+ * the newest record of each key, and a short history. POST /publish?key=K
+ * stores an operator's record (an empty body removes it). POST /control makes
+ * it fail:
+ *   down=0|1      answers 503 to every call of the store
+ *   busy=0|1      answers 429 to every call of the store
+ *   refuse=0|1    answers 503 to appends
+ *   lose=N        writes the next N appends, but closes their connections
+ *                 without an answer
+ *   late_ms=N     appends that lose=N applies to are written N ms later, and
+ *                 only if the topic's end is then still the offset that they
+ *                 require
+ *   trim=1        drops the history, except the newest record of each key
+ *   deaf=1        never answers the reads that wait at this moment, and leaves
+ *                 their connections open
+ *   hold=0|1      answers reads of the newest records only after hold=0
+ *   trickle_ms=N  spreads an answer with the newest records of the fleet's
+ *                 topic over N ms
  */
 
 #define MAX_BODY (4 * 1024 * 1024)
@@ -33,20 +42,21 @@
 
 struct topic {
 	const char *name;
-	GPtrArray
-		*records; /* struct record, all; trimmed ones stay for newest */
-	int64_t first_offset; /* oldest that can still be read */
+	/* struct record, by offset; trimmed ones are kept for /-/log-newest. */
+	GPtrArray *records;
+	int64_t first_offset; /* oldest record that can still be read */
 };
 
+/* A read that has not been answered yet. */
 struct reader {
 	struct httpd_request *r;
 	struct topic *topic;
 	int64_t from_offset;
 	int64_t until_ms;
-	bool deaf;
+	bool deaf; /* never answered */
 };
 
-/* An answer on a slow way. */
+/* An answer that is sent in parts over trickle_ms. */
 struct slow_answer {
 	struct httpd_request *r;
 	char *text;
@@ -55,6 +65,7 @@
 	int64_t started_at_ms;
 };
 
+/* An append that is written at due_at_ms if offset is the topic's end then. */
 struct late_append {
 	struct topic *topic;
 	int64_t offset;
@@ -71,7 +82,7 @@
 static bool down, busy, refuse, hold;
 static int64_t trickle_ms;
 static GPtrArray *slow_answers; /* struct slow_answer */
-static GPtrArray *held_reads; /* struct reader, who asked for the newest */
+static GPtrArray *held_reads; /* struct reader, for /-/log-newest */
 static int64_t n_to_lose, late_ms;
 static uint64_t n_appends, n_conflicts, n_reads, n_newest;
 
@@ -158,7 +169,7 @@
 	return s ? g_ascii_strtoll(s, NULL, 10) : fallback;
 }
 
-/* Take the framed records of one append; false when they are malformed. */
+/* Adds the framed records of one append. Returns false if they are malformed. */
 static bool add_framed_records(struct topic *t, const guint8 *p, size_t left)
 {
 	while (left >= LENGTH_BYTES) {
--- a/t/sim-faults.c
+++ b/t/sim-faults.c
@@ -228,10 +228,11 @@
 			(gint64)(member_lease_end_ms(n) - n->now_ms),
 			fleet_n_members(&n->fleet));
 		for (j = 0; j < n->n_holds && i < SIM_KEYED; j++)
-			g_print("  shard %u hold %d clear %d owner "
-				"%" G_GINT64_FORMAT " succ %" G_GINT64_FORMAT
-				" from %" G_GINT64_FORMAT
-				" fsucc %" G_GINT64_FORMAT "\n",
+			g_print("  shard %u hold %d released by %d owner "
+				"%" G_GINT64_FORMAT
+				" successor %" G_GINT64_FORMAT
+				" previous owner %" G_GINT64_FORMAT
+				" previous successor %" G_GINT64_FORMAT "\n",
 				j, n->holds[j].state, n->holds[j].released_by,
 				(gint64)n->fleet.services[0].shards[j].owner,
 				(gint64)n->fleet.services[0].shards[j].successor,
--- a/t/slope.c
+++ b/t/slope.c
@@ -11,9 +11,11 @@
 #include "util/deflate.h"
 
 /*
- * What the state costs by the number of nodes and shards: memory, the size of
- * a snapshot, the time for the records that matter, and for a member's tick.
- * docs/CAPACITY.md draws its slopes from here.
+ * Prints what the fleet's state costs for a number of nodes (first argument)
+ * and of shards per service (second argument): memory, the size of a snapshot,
+ * and the time to apply the records that matter and to run a member's tick.
+ * With a third argument it prints instead what that number of routes costs.
+ * docs/CAPACITY.md takes its growth rates from this output.
  */
 
 #define N_SERVICES 8
@@ -74,6 +76,7 @@
 				       op_export, op_import, op_published,
 				       op_note };
 
+/* Returns how long the record took to apply, in ms. */
 static double apply_record(json_t *r)
 {
 	int64_t t = clock_now_us();
@@ -171,7 +174,10 @@
 	return (clock_now_us() - us) / 1000.0;
 }
 
-/* One change of the operators: what its proposer and what each host spends. */
+/*
+ * Applies one change of the operators' routes, and prints the time that the
+ * member that proposes it and each host spend on it.
+ */
 static void measure_route_change(const char *what, int n, int version)
 {
 	char *text = routes_text(n, version);
@@ -217,7 +223,7 @@
 	published_finish(&p);
 }
 
-/* What a configuration of n routes costs. */
+/* Prints what a configuration with n routes costs. */
 static void measure_routes(int n)
 {
 	struct mallinfo2 before = mallinfo2();
