--- a/t/sim-backend.c
+++ b/t/sim-backend.c
@@ -234,7 +234,10 @@
 	uint32_t draw = s->loss > 0 ? g_rand_int_range(s->rand, 0, 1000) : 999;
 
 	if (nd->known_instance != b->instance || !b->up) {
-		/* The instance that the call is meant for has stopped. */
+		/*
+		 * The instance that the call is meant for has stopped, so there
+		 * is no connection to send it on.
+		 */
 		k.outcome = GRANT_NOT_APPLIED;
 		k.answer_at_ms = s->now_ms + SIM_STEP_MS;
 		g_array_append_val(b->calls, k);
@@ -242,7 +245,7 @@
 	}
 	k.arrives_at_ms =
 		s->now_ms + g_rand_int_range(s->rand, 0, SEND_TIMEOUT_MS);
-	/* The process is frozen, or slow to connect, before it can send. */
+	/* The process is frozen or slow to connect after planning the call. */
 	if (s->loss > 0 &&
 	    g_rand_int_range(s->rand, 0, 1000) < SENT_LATE_PER_MILLE)
 		k.arrives_at_ms +=
--- a/t/sim.c
+++ b/t/sim.c
@@ -7,7 +7,7 @@
 
 #define N_SHARDS 12
 #define LOST_ANSWER_RETRY_MS 700
-/* As DEAF_MS in node/streams.c. */
+/* The same delay as in node/streams.c. */
 #define BEHIND_READ_DELAY_MS 200
 
 const char *const sim_data_centres[SIM_DATA_CENTRES] = { "hakata", "tenjin",
--- a/t/sim.h
+++ b/t/sim.h
@@ -45,8 +45,7 @@
 /* A backend server that holds shards by grants. */
 struct sim_backend {
 	bool up;
-	uint32_t instance; /* a number that differs for each start of any server
-			    */
+	uint32_t instance; /* unique over all starts of all servers */
 	int64_t *held_until_ms; /* per shard */
 	int64_t *fence; /* per shard, of its last grant */
 	int64_t heartbeat_number; /* of the last heartbeat */
@@ -83,7 +82,7 @@
 	/* With grants only: */
 	struct sim_backend backend;
 	struct grants grants; /* of this process */
-	/* Server instance that this process got a heartbeat from, 0: none. */
+	/* Server instance that sent the last heartbeat to it, 0: none. */
 	uint32_t known_instance;
 
 	int64_t log_read_at_ms; /* the last read */
@@ -115,7 +114,12 @@
 	GQueue *append_answers; /* struct sim_append */
 	int64_t log_down_until_ms;
 	int64_t link_cut_until_ms[SIM_NODES][SIM_NODES];
-	double loss; /* probability that a peer message is lost */
+	/*
+	 * Probability that a peer message is lost. If it is not 0, messages are
+	 * also duplicated, and answers to appends, heartbeats and calls get
+	 * lost or late.
+	 */
+	double loss;
 	uint32_t n_shards;
 	bool uses_grants; /* backend servers hold shards by grants */
 	const struct grant_ops *grant_ops; /* by heartbeat or by call */
@@ -125,13 +129,14 @@
 	uint64_t n_omitted_held;
 	uint32_t disabled_grant_rules; /* bits of enum grant_rule */
 	uint32_t n_instances; /* of all backend servers */
+	/* Per shard, the server instance that held it under top_fence. */
+	uint32_t *top_fence_instance;
 	uint32_t disabled_rules; /* bits of enum member_rule */
 	uint64_t breaches; /* shards served by two nodes at once */
 	uint64_t fence_breaches; /* shards served under an old or reused fence */
 	/* Per shard, the highest fence it was ever served under, and where. */
 	int64_t *top_fence;
 	uint32_t *top_fence_slot;
-	uint32_t *top_fence_instance;
 	uint64_t n_appends;
 	bool verbose;
 	json_t *published; /* by the operators, NULL: none */
