--- a/t/test-gate.c
+++ b/t/test-gate.c
@@ -41,7 +41,7 @@
  * A server turns cold again without a word: answers become many times slower.
  * Full load would keep it down, so the gate begins again from a few.
  */
-static void test_limit_notices_cold(void)
+static void test_limit_restarts_slow_start(void)
 {
 	struct limit l;
 	int64_t now;
@@ -61,7 +61,7 @@
  * A neighbour that nobody sees stalls the server for a moment; all that was in
  * flight comes back late together. That must not cost a whole cold start.
  */
-static void test_limit_forgives_a_stall(void)
+static void test_limit_recovers_after_stall(void)
 {
 	struct limit l;
 	int64_t now;
@@ -84,7 +84,7 @@
 	g_assert_cmpuint(l.n_cold_starts, ==, 0);
 }
 
-static void test_limit_follows_shedding(void)
+static void test_limit_halves_on_shedding(void)
 {
 	struct limit l;
 	int64_t now;
@@ -258,7 +258,7 @@
 	ids_finish(&b);
 }
 
-static void test_ids_made(void)
+static void test_ids_creation_time(void)
 {
 	g_assert_cmpint(ids_created_ms("017f22e2-79b0-7cc3-98c4-dc0c0c07398f"),
 			==, 0x017f22e279b0);
@@ -267,7 +267,7 @@
 	g_assert_cmpint(ids_created_ms("booking-1"), ==, -1);
 }
 
-static uint32_t sent_in(struct cold_start *c, int64_t from, int64_t to)
+static uint32_t count_sent(struct cold_start *c, int64_t from, int64_t to)
 {
 	uint32_t n = 0;
 	int64_t now;
@@ -286,20 +286,20 @@
  * Taken for a server that bears anything, it would get its full load cold and
  * fall over.
  */
-static void test_cold_before_configuration(void)
+static void test_cold_start_before_configuration(void)
 {
 	struct cold_start c;
 
 	cold_start_init(&c, 0);
 	cold_start_set_remaining(&c, 3000, 0);
-	g_assert_cmpuint(sent_in(&c, 0, 1000), ==, 0);
-	g_assert_cmpuint(sent_in(&c, 1000, 2000), <=, 5);
+	g_assert_cmpuint(count_sent(&c, 0, 1000), ==, 0);
+	g_assert_cmpuint(count_sent(&c, 1000, 2000), <=, 5);
 	cold_start_set_rate(&c, 25);
-	g_assert_cmpuint(sent_in(&c, 2000, 2900), <=, 25);
+	g_assert_cmpuint(count_sent(&c, 2000, 2900), <=, 25);
 }
 
 /* In any second, not only in those that begin on the full, it stays below. */
-static void test_cold_sliding(void)
+static void test_cold_start_sliding_window(void)
 {
 	struct cold_start c;
 	uint32_t first, second;
@@ -307,15 +307,15 @@
 	cold_start_init(&c, 0);
 	cold_start_set_rate(&c, 20);
 	cold_start_set_remaining(&c, 60000, 0);
-	first = sent_in(&c, 1000, 1500);
-	second = sent_in(&c, 1500, 2000);
+	first = count_sent(&c, 1000, 1500);
+	second = count_sent(&c, 1500, 2000);
 	g_assert_cmpuint(first, >, 0);
 	g_assert_cmpuint(first + second, <=, 20);
 	cold_start_set_remaining(&c, 0, 2000);
-	g_assert_cmpuint(sent_in(&c, 2000, 2002), ==, 100000);
+	g_assert_cmpuint(count_sent(&c, 2000, 2002), ==, 100000);
 }
 
-static void learn_two(struct queue *q, double short_ms, double long_ms)
+static void init_two_classes(struct queue *q, double short_ms, double long_ms)
 {
 	queue_init(q, 4);
 	queue_set_classes(q, 2);
@@ -334,7 +334,7 @@
 	struct queued out;
 	struct queue q;
 
-	learn_two(&q, 15, 110);
+	init_two_classes(&q, 15, 110);
 	in.class_index = 1;
 	in.due_ms = 50;
 	g_assert_null(queue_push(&q, &in));
@@ -354,13 +354,13 @@
  * A long queue of long requests. A short one need not wait for them, and must
  * not be refused for their time.
  */
-static void test_queue_counts_what_goes_before(void)
+static void test_queue_counts_earlier_work(void)
 {
 	struct queued in = { .deadline_ms = 10000 };
 	struct queue q;
 	uint32_t i;
 
-	learn_two(&q, 15, 110);
+	init_two_classes(&q, 15, 110);
 	q.max = 100;
 	in.class_index = 1;
 	in.due_ms = 100;
@@ -380,14 +380,14 @@
  * out evenly, refusals hit the calls that requests elsewhere wait for, and all
  * of the work on those is wasted.
  */
-static void test_queue_full_of_long_ones(void)
+static void test_queue_full_evicts_long(void)
 {
 	struct queued in = { .deadline_ms = 10000, .due_ms = 100 };
 	struct queued *victim;
 	struct queue q;
 	uint32_t i;
 
-	learn_two(&q, 15, 110);
+	init_two_classes(&q, 15, 110);
 	in.class_index = 1;
 	for (i = 0; i < 4; i++) {
 		queue_count(&q, 1, true);
@@ -455,12 +455,12 @@
 #define WORK_MS 100
 
 /* Of requests that come every gap_ms, how many are begun in good time. */
-static uint32_t begun_in_time(struct admission *a, int64_t gap_ms)
+static uint32_t count_started_in_time(struct admission *a, int64_t gap_ms)
 {
 	int64_t free_ms[12] = { 0 };
 	struct queued *victim;
 	struct queued out;
-	uint32_t good = 0;
+	uint32_t n_in_time = 0;
 	int64_t now;
 	uint32_t i;
 
@@ -483,10 +483,10 @@
 				;
 			free_ms[i] = now + WORK_MS;
 			/* Its work may take twice as long as usual. */
-			good += now + 2 * WORK_MS <= out.due_ms;
+			n_in_time += now + 2 * WORK_MS <= out.due_ms;
 		}
 	}
-	return good;
+	return n_in_time;
 }
 
 /*
@@ -496,19 +496,19 @@
  */
 static void test_admission_overload_in_time(void)
 {
-	uint32_t able = LOAD_MS * 12 / WORK_MS;
+	uint32_t capacity = LOAD_MS * 12 / WORK_MS;
 	struct admission a;
 
 	admission_init(&a, &limit_fixed, 0, 0);
 	admission_reset(&a, &limit_fixed, 12, 0);
 	queue_set_classes(&a.queue, 1);
 	queue_update_service_ms(&a.queue, 0, WORK_MS);
-	g_assert_cmpuint(begun_in_time(&a, 6), >=, able * 9 / 10);
+	g_assert_cmpuint(count_started_in_time(&a, 6), >=, capacity * 9 / 10);
 	admission_finish(&a);
 }
 
 /* A link of 8 Mbit/s carries 1,000 bytes a millisecond, 900 of them answers. */
-static void test_link(void)
+static void test_link_wait(void)
 {
 	struct link l;
 
@@ -544,7 +544,7 @@
 }
 
 /* Operators change a route; what was learned of the others is not forgotten. */
-static void test_classes_stay_known(void)
+static void test_queue_keeps_class_stats(void)
 {
 	struct queue q;
 
@@ -560,7 +560,7 @@
 }
 
 /* A flood of what is noted must not make the newest of it forgotten. */
-static void test_recent_drops_the_oldest(void)
+static void test_fifo_cache_evicts_oldest(void)
 {
 	struct recent r;
 	uint64_t i;
@@ -582,19 +582,20 @@
 {
 	g_test_init(&argc, &argv, NULL);
 	g_test_add_func("/limit/cold", test_limit_starts_cold);
-	g_test_add_func("/limit/cold-again", test_limit_notices_cold);
-	g_test_add_func("/limit/stall", test_limit_forgives_a_stall);
-	g_test_add_func("/limit/shed", test_limit_follows_shedding);
-	g_test_add_func("/queue/classes-stay-known", test_classes_stay_known);
+	g_test_add_func("/limit/cold-again", test_limit_restarts_slow_start);
+	g_test_add_func("/limit/stall", test_limit_recovers_after_stall);
+	g_test_add_func("/limit/shed", test_limit_halves_on_shedding);
+	g_test_add_func("/queue/classes-stay-known",
+			test_queue_keeps_class_stats);
 	g_test_add_func("/cold/before-configuration",
-			test_cold_before_configuration);
-	g_test_add_func("/cold/sliding", test_cold_sliding);
+			test_cold_start_before_configuration);
+	g_test_add_func("/cold/sliding", test_cold_start_sliding_window);
 	g_test_add_func("/queue/order", test_queue_order);
 	g_test_add_func("/queue/shortest-first", test_queue_shortest_first);
 	g_test_add_func("/queue/counts-what-goes-before",
-			test_queue_counts_what_goes_before);
+			test_queue_counts_earlier_work);
 	g_test_add_func("/queue/full-of-long-ones",
-			test_queue_full_of_long_ones);
+			test_queue_full_evicts_long);
 	g_test_add_func("/queue/by-target", test_queue_refuses_by_target);
 	g_test_add_func("/queue/early", test_queue_early_refusal);
 	g_test_add_func("/queue/short-among-long", test_queue_short_among_long);
@@ -604,10 +605,10 @@
 	g_test_add_func("/ids/repeat", test_ids_repeat);
 	g_test_add_func("/ids/full", test_ids_full);
 	g_test_add_func("/ids/move", test_ids_move);
-	g_test_add_func("/ids/made", test_ids_made);
-	g_test_add_func("/link/wait", test_link);
+	g_test_add_func("/ids/made", test_ids_creation_time);
+	g_test_add_func("/link/wait", test_link_wait);
 	g_test_add_func("/recent/drops-the-oldest",
-			test_recent_drops_the_oldest);
+			test_fifo_cache_evicts_oldest);
 	g_test_add_func("/delay/follows-drift", test_delay_follows_drift);
 	return g_test_run();
 }
--- a/t/test-grants.c
+++ b/t/test-grants.c
@@ -17,14 +17,14 @@
 #define BOTH (1 << GRANT_CALL_GRANT | 1 << GRANT_CALL_RELEASE)
 
 /* What a node would say of its shards: fence 0 where it does not serve. */
-struct owned {
+struct owned_shards {
 	int64_t fence[N_SHARDS];
 	bool expected[N_SHARDS];
 };
 
 static bool serves(const void *user, uint32_t shard, int64_t *fence)
 {
-	const struct owned *w = user;
+	const struct owned_shards *w = user;
 
 	*fence = w->fence[shard];
 	return *fence;
@@ -32,19 +32,19 @@
 
 static bool expects(const void *user, uint32_t shard)
 {
-	const struct owned *w = user;
+	const struct owned_shards *w = user;
 
 	return w->expected[shard];
 }
 
-static const struct grant_owner_ops owned_ops = { serves, expects };
+static const struct grant_owner_ops owner_ops = { serves, expects };
 
 struct fixture {
 	struct grants g;
-	struct owned w;
+	struct owned_shards w;
 	struct grant_owner o;
 	int64_t now;
-	int64_t beat;
+	int64_t heartbeat_number;
 };
 
 static void renew_lease(struct fixture *f)
@@ -60,14 +60,15 @@
 	grants_init(&f->g, &grant_by_call, 0);
 	grants_resize(&f->g, N_SHARDS, N_KEYS);
 	grant_call_heartbeat_received(&f->g);
-	f->o.ops = &owned_ops;
+	f->o.ops = &owner_ops;
 	f->o.user = &f->w;
 	f->o.newest_fence = 999;
 	f->o.is_caught_up = true;
 	renew_lease(f);
 }
 
-static void own(struct fixture *f, uint32_t from, uint32_t to, int64_t fence)
+static void set_owned(struct fixture *f, uint32_t from, uint32_t to,
+		      int64_t fence)
 {
 	uint32_t i;
 
@@ -77,49 +78,49 @@
 	}
 }
 
-static bool next(struct fixture *f, struct grant_call *c)
+static bool next_call(struct fixture *f, struct grant_call *c)
 {
 	return grant_call_next(&f->g, &f->o, BOTH, HOLD_MAX_MS, f->now, c);
 }
 
-static void done(struct fixture *f, const struct grant_call *c,
-		 enum grant_outcome outcome, const char *handover)
+static void finish_call(struct fixture *f, const struct grant_call *c,
+			enum grant_outcome outcome, const char *handover)
 {
 	grant_call_done(&f->g, c, outcome, handover, f->now);
 }
 
 /* Give shards 0 to 3 under fence 10, answered. */
-static void give_four(struct fixture *f)
+static void grant_four_shards(struct fixture *f)
 {
 	struct grant_call c;
 
 	set_up(f);
-	own(f, 0, 3, 10);
-	g_assert_true(next(f, &c));
+	set_owned(f, 0, 3, 10);
+	g_assert_true(next_call(f, &c));
 	g_assert_cmpint(c.kind, ==, GRANT_CALL_GRANT);
 	g_assert_cmpuint(c.first, ==, 0);
 	g_assert_cmpuint(c.last, ==, 3);
 	g_assert_cmpint(c.row.from, ==, 0);
 	g_assert_cmpint(c.row.to, ==, 127);
-	done(f, &c, GRANT_APPLIED, NULL);
+	finish_call(f, &c, GRANT_APPLIED, NULL);
 }
 
 /*
  * Until the server has said that it holds a key, a request for it would be
  * turned away.
  */
-static void test_granted_when_answered(void)
+static void test_held_once_answered(void)
 {
 	struct fixture f;
 	struct grant_call c, other;
 
 	set_up(&f);
-	own(&f, 0, 3, 10);
-	g_assert_true(next(&f, &c));
+	set_owned(&f, 0, 3, 10);
+	g_assert_true(next_call(&f, &c));
 	g_assert_false(grants_server_holds(&f.g, 0, 10, f.now));
 	g_assert_true(grants_may_hold(&f.g, 0, f.now));
-	g_assert_false(next(&f, &other));
-	done(&f, &c, GRANT_APPLIED, NULL);
+	g_assert_false(next_call(&f, &other));
+	finish_call(&f, &c, GRANT_APPLIED, NULL);
 	g_assert_true(grants_server_holds(&f.g, 3, 10, f.now));
 	g_assert_false(grants_server_holds(&f.g, 4, 10, f.now));
 	g_assert_cmpuint(grant_call_count_ranges(&f.g), ==, 1);
@@ -137,8 +138,8 @@
 	struct grant_call c;
 
 	set_up(&f);
-	own(&f, 0, 0, 10);
-	g_assert_true(next(&f, &c));
+	set_owned(&f, 0, 0, 10);
+	g_assert_true(next_call(&f, &c));
 	g_assert_cmpfloat(c.send_by_ms + c.hold_ms * GRANT_CLOCK_DRIFT_FACTOR,
 			  <=, f.o.lease_end_ms);
 	g_assert_cmpint(c.latest_end_ms, <=, f.o.lease_end_ms);
@@ -153,9 +154,9 @@
 	struct grant_call c;
 
 	set_up(&f);
-	own(&f, 0, 0, 10);
+	set_owned(&f, 0, 0, 10);
 	f.o.lease_end_ms = f.now + 200;
-	g_assert_false(next(&f, &c));
+	g_assert_false(next_call(&f, &c));
 	grants_finish(&f.g);
 }
 
@@ -169,18 +170,18 @@
 	struct grant_call c;
 	int64_t end;
 
-	give_four(&f);
+	grant_four_shards(&f);
 	end = f.g.shards[0].holds_until_ms;
 	for (;; f.now += 50) {
 		renew_lease(&f);
-		if (next(&f, &c))
+		if (next_call(&f, &c))
 			break;
 	}
 	g_assert_cmpint(end - f.now, >, 1000);
 	g_assert_cmpint(end - f.now, <, 2000);
 	g_assert_cmpuint(c.first, ==, 0);
 	g_assert_cmpuint(c.last, ==, 3);
-	done(&f, &c, GRANT_APPLIED, NULL);
+	finish_call(&f, &c, GRANT_APPLIED, NULL);
 	g_assert_cmpint(f.g.shards[2].holds_until_ms, >, end);
 	grants_finish(&f.g);
 }
@@ -190,41 +191,41 @@
  * has let the keys go. Given to another server at once they would then be held
  * by both.
  */
-static void test_doubt_outlives_release(void)
+static void test_in_doubt_outlives_release(void)
 {
 	struct fixture f;
-	struct grant_call late, c;
+	struct grant_call late_call, c;
 
-	give_four(&f);
+	grant_four_shards(&f);
 	f.now += 1800;
 	renew_lease(&f);
-	g_assert_true(next(&f, &late));
-	done(&f, &late, GRANT_IN_DOUBT, NULL);
-	own(&f, 0, 3, 0);
-	g_assert_true(next(&f, &c));
+	g_assert_true(next_call(&f, &late_call));
+	finish_call(&f, &late_call, GRANT_IN_DOUBT, NULL);
+	set_owned(&f, 0, 3, 0);
+	g_assert_true(next_call(&f, &c));
 	g_assert_cmpint(c.kind, ==, GRANT_CALL_RELEASE);
 	g_assert_cmpint(c.row.fence, ==, 10);
-	done(&f, &c, GRANT_APPLIED, "5c0e");
+	finish_call(&f, &c, GRANT_APPLIED, "5c0e");
 	g_assert_false(grants_server_holds(&f.g, 0, 10, f.now));
 	g_assert_true(grants_may_hold(&f.g, 0, f.now));
-	g_assert_true(grants_may_hold(&f.g, 0, late.latest_end_ms - 1));
-	g_assert_false(grants_may_hold(&f.g, 0, late.latest_end_ms));
+	g_assert_true(grants_may_hold(&f.g, 0, late_call.latest_end_ms - 1));
+	g_assert_false(grants_may_hold(&f.g, 0, late_call.latest_end_ms));
 	grants_finish(&f.g);
 }
 
 /* The same while the call is still on its way, which may be its first. */
-static void test_asked_counts_as_held(void)
+static void test_in_flight_counts_as_held(void)
 {
 	struct fixture f;
 	struct grant_call c, other;
 
 	set_up(&f);
-	own(&f, 0, 0, 10);
-	g_assert_true(next(&f, &c));
-	own(&f, 0, 0, 0);
-	g_assert_false(next(&f, &other));
+	set_owned(&f, 0, 0, 10);
+	g_assert_true(next_call(&f, &c));
+	set_owned(&f, 0, 0, 0);
+	g_assert_false(next_call(&f, &other));
 	g_assert_true(grants_may_hold(&f.g, 0, f.now + 60000));
-	done(&f, &c, GRANT_NOT_APPLIED, NULL);
+	finish_call(&f, &c, GRANT_NOT_APPLIED, NULL);
 	g_assert_false(grants_may_hold(&f.g, 0, f.now));
 	grants_finish(&f.g);
 }
@@ -235,18 +236,18 @@
 	struct fixture f;
 	struct grant_call c;
 
-	give_four(&f);
-	own(&f, 2, 3, 0);
-	g_assert_true(next(&f, &c));
+	grant_four_shards(&f);
+	set_owned(&f, 2, 3, 0);
+	g_assert_true(next_call(&f, &c));
 	g_assert_cmpint(c.kind, ==, GRANT_CALL_RELEASE);
 	g_assert_cmpuint(c.first, ==, 2);
 	g_assert_cmpuint(c.last, ==, 3);
-	done(&f, &c, GRANT_IN_DOUBT, NULL);
+	finish_call(&f, &c, GRANT_IN_DOUBT, NULL);
 	g_assert_true(grants_may_hold(&f.g, 2, f.now));
 	f.now += 100;
-	g_assert_true(next(&f, &c));
+	g_assert_true(next_call(&f, &c));
 	g_assert_cmpint(c.kind, ==, GRANT_CALL_RELEASE);
-	done(&f, &c, GRANT_APPLIED, "ab12");
+	finish_call(&f, &c, GRANT_APPLIED, "ab12");
 	g_assert_false(grants_may_hold(&f.g, 2, f.now));
 	g_assert_true(grants_server_holds(&f.g, 1, 10, f.now));
 	grants_finish(&f.g);
@@ -260,31 +261,31 @@
 {
 	struct fixture f, to;
 	struct grant_call c;
-	GArray *told = g_array_new(FALSE, FALSE, sizeof(int64_t));
-
-	give_four(&f);
-	own(&f, 3, 3, 0);
-	g_assert_true(next(&f, &c));
-	done(&f, &c, GRANT_APPLIED, "00ab12");
-	grants_export(&f.g, 3, told);
-	g_assert_cmpuint(told->len, ==, GRANTS_ENTRY_LEN);
+	GArray *exported = g_array_new(FALSE, FALSE, sizeof(int64_t));
+
+	grant_four_shards(&f);
+	set_owned(&f, 3, 3, 0);
+	g_assert_true(next_call(&f, &c));
+	finish_call(&f, &c, GRANT_APPLIED, "00ab12");
+	grants_export(&f.g, 3, exported);
+	g_assert_cmpuint(exported->len, ==, GRANTS_ENTRY_LEN);
 	set_up(&to);
-	g_assert_true(grants_import(&to.g, (int64_t *)told->data));
-	own(&to, 2, 4, 20);
-	g_assert_true(next(&to, &c));
+	g_assert_true(grants_import(&to.g, (int64_t *)exported->data));
+	set_owned(&to, 2, 4, 20);
+	g_assert_true(next_call(&to, &c));
 	g_assert_cmpuint(c.first, ==, 2);
 	g_assert_cmpuint(c.last, ==, 2);
-	done(&to, &c, GRANT_APPLIED, NULL);
-	g_assert_true(next(&to, &c));
+	finish_call(&to, &c, GRANT_APPLIED, NULL);
+	g_assert_true(next_call(&to, &c));
 	g_assert_cmpuint(c.first, ==, 3);
 	g_assert_cmpuint(c.last, ==, 3);
 	g_assert_cmpstr(c.row.handover, ==, "00ab12");
-	done(&to, &c, GRANT_APPLIED, NULL);
+	finish_call(&to, &c, GRANT_APPLIED, NULL);
 	to.now += 2000;
 	renew_lease(&to);
-	g_assert_true(next(&to, &c));
+	g_assert_true(next_call(&to, &c));
 	g_assert_cmpuint(c.last, ==, 4);
-	g_array_unref(told);
+	g_array_unref(exported);
 	grants_finish(&f.g);
 	grants_finish(&to.g);
 }
@@ -294,34 +295,35 @@
  * refused; the others must not wait for that one, and that one must not be
  * asked for again under a fence that is known to be too low.
  */
-static void test_fenced_alone(void)
+static void test_fenced_shard_is_isolated(void)
 {
 	struct fixture f;
 	struct grant_call c;
 	uint32_t i;
 
 	set_up(&f);
-	own(&f, 0, 2, 10);
-	g_assert_true(next(&f, &c));
+	set_owned(&f, 0, 2, 10);
+	g_assert_true(next_call(&f, &c));
 	g_assert_cmpuint(c.last, ==, 2);
-	done(&f, &c, GRANT_FENCED, NULL);
-	g_assert_false(next(&f, &c));
+	finish_call(&f, &c, GRANT_FENCED, NULL);
+	g_assert_false(next_call(&f, &c));
 	f.now += 1000;
 	renew_lease(&f);
 	for (i = 0; i < 3; i++) {
-		g_assert_true(next(&f, &c));
+		g_assert_true(next_call(&f, &c));
 		g_assert_cmpuint(c.first, ==, i);
 		g_assert_cmpuint(c.last, ==, i);
-		done(&f, &c, i == 1 ? GRANT_FENCED : GRANT_APPLIED, NULL);
+		finish_call(&f, &c, i == 1 ? GRANT_FENCED : GRANT_APPLIED,
+			    NULL);
 	}
 	f.now += 10000;
 	renew_lease(&f);
-	while (next(&f, &c)) {
+	while (next_call(&f, &c)) {
 		g_assert_cmpuint(c.first, !=, 1);
-		done(&f, &c, GRANT_APPLIED, NULL);
+		finish_call(&f, &c, GRANT_APPLIED, NULL);
 	}
 	f.w.fence[1] = 30;
-	g_assert_true(next(&f, &c));
+	g_assert_true(next_call(&f, &c));
 	g_assert_cmpuint(c.first, ==, 1);
 	g_assert_cmpint(c.row.fence, ==, 30);
 	grants_finish(&f.g);
@@ -332,7 +334,7 @@
  * runs on for up to a lease: taken for free, it would go to another server.
  * What is ours by the log is renewed at once; the rest is asked back.
  */
-static void test_past_is_accounted_for(void)
+static void test_prev_process_grants_count(void)
 {
 	struct fixture f;
 	struct grant_call c;
@@ -344,20 +346,20 @@
 	grants_init(&f.g, &grant_by_call, end);
 	grants_resize(&f.g, N_SHARDS, N_KEYS);
 	g_assert_true(grants_may_hold(&f.g, 7, f.now));
-	g_assert_false(next(&f, &c));
+	g_assert_false(next_call(&f, &c));
 	grant_call_heartbeat_received(&f.g);
-	own(&f, 0, 3, 10);
-	g_assert_true(next(&f, &c));
+	set_owned(&f, 0, 3, 10);
+	g_assert_true(next_call(&f, &c));
 	g_assert_cmpint(c.kind, ==, GRANT_CALL_GRANT);
 	g_assert_cmpuint(c.last, ==, 3);
-	done(&f, &c, GRANT_APPLIED, NULL);
-	g_assert_true(next(&f, &c));
+	finish_call(&f, &c, GRANT_APPLIED, NULL);
+	g_assert_true(next_call(&f, &c));
 	g_assert_cmpint(c.kind, ==, GRANT_CALL_RELEASE);
 	g_assert_cmpuint(c.first, ==, 4);
 	g_assert_cmpuint(c.last, ==, 7);
 	g_assert_cmpint(c.row.fence, ==, 999);
 	g_assert_true(grants_may_hold(&f.g, 5, f.now));
-	done(&f, &c, GRANT_APPLIED, NULL);
+	finish_call(&f, &c, GRANT_APPLIED, NULL);
 	/* The process before may have been killed with a call in doubt. */
 	g_assert_true(grants_may_hold(&f.g, 5, end - 1));
 	g_assert_false(grants_may_hold(&f.g, 5, end));
@@ -379,44 +381,44 @@
 	grants_init(&f.g, &grant_by_call, f.now + LEASE_MS);
 	grants_resize(&f.g, N_SHARDS, N_KEYS);
 	grant_call_heartbeat_received(&f.g);
-	own(&f, 0, 7, 10);
-	g_assert_true(next(&f, &c));
-	done(&f, &c, GRANT_IN_DOUBT, NULL);
-	g_assert_true(next(&f, &c));
-	done(&f, &c, GRANT_APPLIED, NULL);
-	own(&f, 0, 3, 0);
-	g_assert_true(next(&f, &c));
+	set_owned(&f, 0, 7, 10);
+	g_assert_true(next_call(&f, &c));
+	finish_call(&f, &c, GRANT_IN_DOUBT, NULL);
+	g_assert_true(next_call(&f, &c));
+	finish_call(&f, &c, GRANT_APPLIED, NULL);
+	set_owned(&f, 0, 3, 0);
+	g_assert_true(next_call(&f, &c));
 	g_assert_cmpint(c.kind, ==, GRANT_CALL_RELEASE);
-	done(&f, &c, GRANT_APPLIED, NULL);
+	finish_call(&f, &c, GRANT_APPLIED, NULL);
 	g_assert_true(grants_may_hold(&f.g, 0, f.now));
-	own(&f, 4, 7, 12);
+	set_owned(&f, 4, 7, 12);
 	f.now += 1500;
 	renew_lease(&f);
-	g_assert_true(next(&f, &c));
+	g_assert_true(next_call(&f, &c));
 	g_assert_cmpint(c.row.fence, ==, 12);
-	done(&f, &c, GRANT_APPLIED, NULL);
-	own(&f, 4, 7, 0);
-	g_assert_true(next(&f, &c));
+	finish_call(&f, &c, GRANT_APPLIED, NULL);
+	set_owned(&f, 4, 7, 0);
+	g_assert_true(next_call(&f, &c));
 	g_assert_cmpint(c.kind, ==, GRANT_CALL_RELEASE);
-	done(&f, &c, GRANT_APPLIED, NULL);
+	finish_call(&f, &c, GRANT_APPLIED, NULL);
 	g_assert_false(grants_may_hold(&f.g, 4, f.now));
 	grants_finish(&f.g);
 }
 
 /* A new process waits no longer than the one before can have granted. */
-static void test_past_covers_longest_hold(void)
+static void test_prev_process_wait_is_long_enough(void)
 {
 	struct fixture f;
 	struct grant_call c;
 
 	set_up(&f);
 	f.o.lease_end_ms = f.now + 60000;
-	own(&f, 0, 0, 10);
-	g_assert_true(next(&f, &c));
+	set_owned(&f, 0, 0, 10);
+	g_assert_true(next_call(&f, &c));
 	g_assert_cmpint(c.latest_end_ms, <=,
 			f.now + grants_prev_process_hold_ms(&grant_by_call,
 							    60000));
-	done(&f, &c, GRANT_APPLIED, NULL);
+	finish_call(&f, &c, GRANT_APPLIED, NULL);
 	grants_finish(&f.g);
 }
 
@@ -425,7 +427,7 @@
  * name of the one before is about to be ours, and let go it would come back
  * cold. Without any word of the server's the wait is for the longest grant.
  */
-static void test_past_kept_until_joined(void)
+static void test_prev_process_grants_kept_until_joined(void)
 {
 	struct fixture f;
 	struct grant_call c;
@@ -438,7 +440,7 @@
 	grant_call_heartbeat_received(&f.g);
 	for (i = 0; i < N_SHARDS; i++)
 		f.w.expected[i] = true;
-	g_assert_false(next(&f, &c));
+	g_assert_false(next_call(&f, &c));
 	g_assert_true(grants_may_hold(&f.g, 0, f.now + LEASE_MS - 1));
 	g_assert_false(grants_may_hold(&f.g, 0, f.now + LEASE_MS));
 	grants_finish(&f.g);
@@ -449,26 +451,26 @@
  * the life before may have reached the new one. It is asked back, and the
  * answer to a call of before does not count as the new life's word.
  */
-static void test_new_life_gives_all_back(void)
+static void test_new_instance_releases_all(void)
 {
 	struct fixture f;
-	struct grant_call late, c;
+	struct grant_call late_call, c;
 
-	give_four(&f);
-	own(&f, 5, 5, 12);
-	g_assert_true(next(&f, &late));
+	grant_four_shards(&f);
+	set_owned(&f, 5, 5, 12);
+	g_assert_true(next_call(&f, &late_call));
 	grants_new_instance(&f.g);
-	own(&f, 0, 5, 0);
+	set_owned(&f, 0, 5, 0);
 	g_assert_false(grants_server_holds(&f.g, 0, 10, f.now));
 	g_assert_true(grants_may_hold(&f.g, 0, f.now));
-	done(&f, &late, GRANT_APPLIED, NULL);
+	finish_call(&f, &late_call, GRANT_APPLIED, NULL);
 	g_assert_false(grants_server_holds(&f.g, 5, 12, f.now));
 	g_assert_true(grants_may_hold(&f.g, 5, f.now));
-	g_assert_true(next(&f, &c));
+	g_assert_true(next_call(&f, &c));
 	g_assert_cmpint(c.kind, ==, GRANT_CALL_RELEASE);
-	done(&f, &c, GRANT_APPLIED, NULL);
+	finish_call(&f, &c, GRANT_APPLIED, NULL);
 	g_assert_false(grants_may_hold(&f.g, 0, f.now));
-	g_assert_true(grants_may_hold(&f.g, 5, late.latest_end_ms - 1));
+	g_assert_true(grants_may_hold(&f.g, 5, late_call.latest_end_ms - 1));
 	grants_finish(&f.g);
 }
 
@@ -477,24 +479,24 @@
  * keep its keys from their next owner for seconds. A call on its way is another
  * matter, for it may have found the next life.
  */
-static void test_ended_server_holds_nothing(void)
+static void test_stopped_server_holds_nothing(void)
 {
 	struct fixture f;
-	struct grant_call late, c;
+	struct grant_call late_call, c;
 
-	give_four(&f);
+	grant_four_shards(&f);
 	f.now += 1800;
 	renew_lease(&f);
-	g_assert_true(next(&f, &late));
-	done(&f, &late, GRANT_IN_DOUBT, NULL);
-	own(&f, 5, 5, 12);
-	g_assert_true(next(&f, &c));
+	g_assert_true(next_call(&f, &late_call));
+	finish_call(&f, &late_call, GRANT_IN_DOUBT, NULL);
+	set_owned(&f, 5, 5, 12);
+	g_assert_true(next_call(&f, &c));
 	g_assert_cmpuint(c.first, ==, 5);
 	grants_server_stopped(&f.g);
 	g_assert_false(grants_may_hold(&f.g, 0, f.now));
 	g_assert_false(grants_server_holds(&f.g, 0, 10, f.now));
 	g_assert_true(grants_may_hold(&f.g, 5, f.now));
-	done(&f, &c, GRANT_NOT_APPLIED, NULL);
+	finish_call(&f, &c, GRANT_NOT_APPLIED, NULL);
 	g_assert_false(grants_may_hold(&f.g, 5, f.now));
 	grants_finish(&f.g);
 }
@@ -503,17 +505,17 @@
  * The server turns a request away for a key that we think it holds. Waiting for
  * the next renewal would have it turn away all others until then.
  */
-static void test_misdirected_is_given_anew(void)
+static void test_misdirected_is_granted_again(void)
 {
 	struct fixture f;
 	struct grant_call c;
 
-	give_four(&f);
+	grant_four_shards(&f);
 	grants_misdirected(&f.g, 2, f.now);
 	g_assert_false(grants_server_holds(&f.g, 2, 10, f.now));
 	g_assert_true(grants_may_hold(&f.g, 2, f.now));
-	g_assert_true(next(&f, &c));
-	done(&f, &c, GRANT_APPLIED, NULL);
+	g_assert_true(next_call(&f, &c));
+	finish_call(&f, &c, GRANT_APPLIED, NULL);
 	g_assert_true(grants_server_holds(&f.g, 2, 10, f.now));
 	grants_finish(&f.g);
 }
@@ -522,25 +524,25 @@
  * A lease that lapses for a moment, with the keys still ours by the log: asked
  * back, they would come back cold a moment later.
  */
-static void test_lapse_lets_nothing_go(void)
+static void test_lapse_releases_nothing(void)
 {
 	struct fixture f;
 	struct grant_call c;
 
-	give_four(&f);
+	grant_four_shards(&f);
 	memset(f.w.fence, 0, sizeof(f.w.fence));
 	f.o.lease_end_ms = 0;
-	g_assert_false(next(&f, &c));
-	own(&f, 0, 3, 10);
+	g_assert_false(next_call(&f, &c));
+	set_owned(&f, 0, 3, 10);
 	f.now += 1900;
 	renew_lease(&f);
-	g_assert_true(next(&f, &c));
+	g_assert_true(next_call(&f, &c));
 	g_assert_cmpint(c.kind, ==, GRANT_CALL_GRANT);
 	grants_finish(&f.g);
 }
 
 /* A server told by the answers to its heartbeats: four shards, four rows. */
-static void set_up_beats(struct fixture *f)
+static void set_up_heartbeats(struct fixture *f)
 {
 	uint32_t i;
 
@@ -549,34 +551,35 @@
 	grants_init(&f->g, &grant_by_heartbeat, 0);
 	grants_resize(&f->g, N_SHARDS, N_KEYS);
 	for (i = 0; i < N_SHARDS; i += 2)
-		own(f, i, i, 10 + i);
+		set_owned(f, i, i, 10 + i);
 }
 
 /* The rows of an answer of up to max_len bytes, as the server reads them. */
-static GArray *named(struct fixture *f, size_t max_len, int64_t *hold_ms,
-		     uint32_t *n_rows)
+static GArray *answer_rows(struct fixture *f, size_t max_len, int64_t *hold_ms,
+			   uint32_t *n_rows)
 {
 	GArray *rows = grant_heartbeat_rows(&f->g, &f->o, true, HOLD_MAX_MS,
 					    f->now, hold_ms);
-	uint32_t n_left_out;
+	uint32_t n_omitted;
 
 	g_assert_nonnull(rows);
-	g_free(announce_answer(rows, *hold_ms, max_len, &n_left_out));
-	*n_rows = rows->len - n_left_out;
+	g_free(announce_answer(rows, *hold_ms, max_len, &n_omitted));
+	*n_rows = rows->len - n_omitted;
 	return rows;
 }
 
 /* A heartbeat of a server that holds the shards of the bits, and its answer. */
-static uint32_t beat(struct fixture *f, uint32_t held, size_t max_len)
+static uint32_t exchange_heartbeat(struct fixture *f, uint32_t held,
+				   size_t max_len)
 {
 	GArray *holds = g_array_new(FALSE, FALSE, sizeof(struct grant_row));
 	GArray *rows;
-	uint32_t n_named, i;
+	uint32_t n_answered, i;
 	uint32_t bits = 0;
 	int64_t hold_ms;
 
 	f->now += 900;
-	f->beat++;
+	f->heartbeat_number++;
 	renew_lease(f);
 	for (i = 0; i < N_SHARDS; i++) {
 		struct grant_row r = { .from = grants_first_key(&f->g, i),
@@ -586,13 +589,13 @@
 		if (held & 1 << i)
 			g_array_append_val(holds, r);
 	}
-	grant_heartbeat_received(&f->g, f->beat, holds, NULL, HOLD_MAX_MS,
-				 f->now);
+	grant_heartbeat_received(&f->g, f->heartbeat_number, holds, NULL,
+				 HOLD_MAX_MS, f->now);
 	g_array_unref(holds);
-	rows = named(f, max_len, &hold_ms, &n_named);
-	grant_heartbeat_answered(&f->g, rows, n_named, f->beat, hold_ms,
-				 f->now);
-	for (i = 0; i < n_named; i++)
+	rows = answer_rows(f, max_len, &hold_ms, &n_answered);
+	grant_heartbeat_answered(&f->g, rows, n_answered, f->heartbeat_number,
+				 hold_ms, f->now);
+	for (i = 0; i < n_answered; i++)
 		bits |= 1 << g_array_index(rows, struct grant_row, i).from *
 				     N_SHARDS / N_KEYS;
 	g_array_unref(rows);
@@ -600,7 +603,7 @@
 }
 
 /* The shards that requests are sent for. */
-static uint32_t served(const struct fixture *f)
+static uint32_t served_shards(const struct fixture *f)
 {
 	uint32_t bits = 0;
 	uint32_t i;
@@ -616,38 +619,38 @@
 #define ROOM_FOR_TWO 60
 
 /* Requests for rows left out were sent, and all turned away by the server. */
-static void test_left_out_is_not_granted(void)
+static void test_omitted_is_not_granted(void)
 {
 	struct fixture f;
 	uint32_t was;
 
-	set_up_beats(&f);
-	was = beat(&f, 0, ROOM_FOR_TWO);
+	set_up_heartbeats(&f);
+	was = exchange_heartbeat(&f, 0, ROOM_FOR_TWO);
 	g_assert_cmphex(was, ==, 0x05);
-	g_assert_cmphex(served(&f), ==, was);
+	g_assert_cmphex(served_shards(&f), ==, was);
 	g_assert_false(grants_may_hold(&f.g, 6, f.now));
 	g_assert_true(grants_waiting_for_room(&f.g, 6));
 	g_assert_false(grants_waiting_for_room(&f.g, 1));
-	g_assert_cmphex(beat(&f, was, 4000), ==, 0x55);
+	g_assert_cmphex(exchange_heartbeat(&f, was, 4000), ==, 0x55);
 	g_assert_false(grants_waiting_for_room(&f.g, 6));
-	g_assert_cmphex(served(&f), ==, 0x55);
+	g_assert_cmphex(served_shards(&f), ==, 0x55);
 	grants_finish(&f.g);
 }
 
 /* Let go for want of room, a key went to another server while still held. */
-static void test_left_out_counts_as_held(void)
+static void test_omitted_counts_as_held(void)
 {
 	struct fixture f;
 	int64_t until;
 
-	set_up_beats(&f);
-	g_assert_cmphex(beat(&f, 0, 4000), ==, 0x55);
+	set_up_heartbeats(&f);
+	g_assert_cmphex(exchange_heartbeat(&f, 0, 4000), ==, 0x55);
 	until = f.g.shards[6].may_hold_until_ms;
-	g_assert_cmphex(beat(&f, 0x55, ROOM_FOR_TWO), ==, 0x05);
-	g_assert_cmphex(served(&f), ==, 0x05);
+	g_assert_cmphex(exchange_heartbeat(&f, 0x55, ROOM_FOR_TWO), ==, 0x05);
+	g_assert_cmphex(served_shards(&f), ==, 0x05);
 	g_assert_true(grants_may_hold(&f.g, 6, until - 1));
 	g_assert_false(grants_may_hold(&f.g, 6, until));
-	beat(&f, 0x05, ROOM_FOR_TWO);
+	exchange_heartbeat(&f, 0x05, ROOM_FOR_TWO);
 	g_assert_false(grants_may_hold(&f.g, 6, f.now));
 	grants_finish(&f.g);
 }
@@ -657,15 +660,15 @@
 {
 	struct fixture f;
 
-	set_up_beats(&f);
-	own(&f, 0, 3, 0);
-	g_assert_cmphex(beat(&f, 0, ROOM_FOR_TWO), ==, 0x50);
-	own(&f, 0, 0, 20);
-	own(&f, 2, 2, 22);
-	g_assert_cmphex(beat(&f, 0x50, ROOM_FOR_TWO), ==, 0x50);
-	g_assert_cmphex(served(&f), ==, 0x50);
-	own(&f, 4, 4, 0);
-	g_assert_cmphex(beat(&f, 0x50, ROOM_FOR_TWO), ==, 0x41);
+	set_up_heartbeats(&f);
+	set_owned(&f, 0, 3, 0);
+	g_assert_cmphex(exchange_heartbeat(&f, 0, ROOM_FOR_TWO), ==, 0x50);
+	set_owned(&f, 0, 0, 20);
+	set_owned(&f, 2, 2, 22);
+	g_assert_cmphex(exchange_heartbeat(&f, 0x50, ROOM_FOR_TWO), ==, 0x50);
+	g_assert_cmphex(served_shards(&f), ==, 0x50);
+	set_owned(&f, 4, 4, 0);
+	g_assert_cmphex(exchange_heartbeat(&f, 0x50, ROOM_FOR_TWO), ==, 0x41);
 	grants_finish(&f.g);
 }
 
@@ -674,39 +677,41 @@
 {
 	struct fixture f;
 
-	set_up_beats(&f);
-	own(&f, 0, 0, 0);
-	g_assert_cmphex(beat(&f, 0, ROOM_FOR_TWO), ==, 0x14);
-	own(&f, 0, 0, 20);
-	own(&f, 4, 4, 0);
-	g_assert_cmphex(beat(&f, 0x14, ROOM_FOR_TWO), ==, 0x44);
+	set_up_heartbeats(&f);
+	set_owned(&f, 0, 0, 0);
+	g_assert_cmphex(exchange_heartbeat(&f, 0, ROOM_FOR_TWO), ==, 0x14);
+	set_owned(&f, 0, 0, 20);
+	set_owned(&f, 4, 4, 0);
+	g_assert_cmphex(exchange_heartbeat(&f, 0x14, ROOM_FOR_TWO), ==, 0x44);
 	grants_finish(&f.g);
 }
 
 int main(int argc, char **argv)
 {
 	g_test_init(&argc, &argv, NULL);
-	g_test_add_func("/grants/answered", test_granted_when_answered);
+	g_test_add_func("/grants/answered", test_held_once_answered);
 	g_test_add_func("/grants/lease", test_hold_ends_with_lease);
 	g_test_add_func("/grants/no-lease", test_no_hold_without_lease);
 	g_test_add_func("/grants/renewed", test_renewed_in_time);
-	g_test_add_func("/grants/doubt", test_doubt_outlives_release);
-	g_test_add_func("/grants/asked", test_asked_counts_as_held);
+	g_test_add_func("/grants/doubt", test_in_doubt_outlives_release);
+	g_test_add_func("/grants/asked", test_in_flight_counts_as_held);
 	g_test_add_func("/grants/release-again", test_release_repeated);
 	g_test_add_func("/grants/handover", test_handover);
-	g_test_add_func("/grants/fenced", test_fenced_alone);
-	g_test_add_func("/grants/past", test_past_is_accounted_for);
+	g_test_add_func("/grants/fenced", test_fenced_shard_is_isolated);
+	g_test_add_func("/grants/past", test_prev_process_grants_count);
 	g_test_add_func("/grants/higher-fence-ends-doubt",
 			test_higher_fence_ends_doubt);
 	g_test_add_func("/grants/past-covers-longest-hold",
-			test_past_covers_longest_hold);
-	g_test_add_func("/grants/past-kept", test_past_kept_until_joined);
-	g_test_add_func("/grants/new-life", test_new_life_gives_all_back);
-	g_test_add_func("/grants/ended", test_ended_server_holds_nothing);
-	g_test_add_func("/grants/misdirected", test_misdirected_is_given_anew);
-	g_test_add_func("/grants/lapse", test_lapse_lets_nothing_go);
-	g_test_add_func("/grants/left-out", test_left_out_is_not_granted);
-	g_test_add_func("/grants/left-out-held", test_left_out_counts_as_held);
+			test_prev_process_wait_is_long_enough);
+	g_test_add_func("/grants/past-kept",
+			test_prev_process_grants_kept_until_joined);
+	g_test_add_func("/grants/new-life", test_new_instance_releases_all);
+	g_test_add_func("/grants/ended", test_stopped_server_holds_nothing);
+	g_test_add_func("/grants/misdirected",
+			test_misdirected_is_granted_again);
+	g_test_add_func("/grants/lapse", test_lapse_releases_nothing);
+	g_test_add_func("/grants/left-out", test_omitted_is_not_granted);
+	g_test_add_func("/grants/left-out-held", test_omitted_counts_as_held);
 	g_test_add_func("/grants/held-first", test_held_rows_come_first);
 	g_test_add_func("/grants/longest-wait", test_longest_wait_goes_first);
 	return g_test_run();
--- a/t/test-log-client.c
+++ b/t/test-log-client.c
@@ -29,7 +29,7 @@
 static const struct log_handlers handlers;
 
 /* Peers know more while the whole log is on its way, which it tells of soon. */
-static void test_recovery_is_not_renewed(void)
+static void test_recovery_is_not_restarted(void)
 {
 	struct ev_loop *loop = ev_default_loop(0);
 	struct log_client c;
@@ -44,8 +44,8 @@
 	log_client_finish(&c);
 }
 
-static void take_record(void *user, int64_t offset, const char *id,
-			const json_t *record)
+static void apply_record(void *user, int64_t offset, const char *id,
+			 const json_t *record)
 {
 	struct log_client *c = user;
 
@@ -54,23 +54,24 @@
 	c->next = offset + 1;
 }
 
-static void take_tail(void *user, int64_t sent_ms)
+static void ignore_tail(void *user, int64_t sent_ms)
 {
 	(void)user;
 	(void)sent_ms;
 }
 
-static void take_regained(void *user)
+static void count_regained(void *user)
 {
 	(void)user;
 	n_regained++;
 }
 
-static const struct log_handlers takers = { .on_record = take_record,
-					    .on_tail = take_tail,
-					    .on_regained = take_regained };
+static const struct log_handlers record_handlers = { .on_record = apply_record,
+						     .on_tail = ignore_tail,
+						     .on_regained =
+							     count_regained };
 
-static void read_brings(struct log_client *c, uint32_t n_records)
+static void finish_read(struct log_client *c, uint32_t n_records)
 {
 	struct log_batch b = { .records = json_array() };
 	int64_t offset;
@@ -87,17 +88,17 @@
 
 /* Each record by itself wakes every reader: those that follow soon share a
  * read. */
-static void test_news_is_gathered(void)
+static void test_new_records_are_batched(void)
 {
 	struct ev_loop *loop = ev_default_loop(0);
 	struct log_client c;
 
-	log_client_init(&c, loop, "127.0.0.1:1", &ops, &takers, &c);
+	log_client_init(&c, loop, "127.0.0.1:1", &ops, &record_handlers, &c);
 	c.gather_ms = 100;
 	ev_run(loop, EVRUN_ONCE);
-	read_brings(&c, 1);
+	finish_read(&c, 1);
 	g_assert_cmpfloat(ev_timer_remaining(loop, &c.timer), >, 0.09);
-	read_brings(&c, 0);
+	finish_read(&c, 0);
 	g_assert_cmpfloat(ev_timer_remaining(loop, &c.timer), <, 0.01);
 	log_client_finish(&c);
 }
@@ -105,40 +106,40 @@
 /* Who brings news to the others looks for the store's return more often. */
 static void test_retries_are_bounded(void)
 {
-	struct log_batch away = { .result = RESULT_IO };
+	struct log_batch unreachable = { .result = RESULT_IO };
 	struct ev_loop *loop = ev_default_loop(0);
 	struct log_client c;
 	uint32_t i;
 
-	log_client_init(&c, loop, "127.0.0.1:1", &ops, &takers, &c);
+	log_client_init(&c, loop, "127.0.0.1:1", &ops, &record_handlers, &c);
 	c.retry_max_ms = 500;
 	ev_run(loop, EVRUN_ONCE);
 	for (i = 0; i < 12; i++)
-		log_client_read_done(&c, &away);
+		log_client_read_done(&c, &unreachable);
 	g_assert_cmpfloat(ev_timer_remaining(loop, &c.timer), <=, 0.51);
 	log_client_finish(&c);
 }
 
 /* One stream hears of the store's return; the other still waits in the dark. */
-static void test_return_holds_for_both(void)
+static void test_other_stream_up_restarts_read(void)
 {
-	struct log_batch away = { .result = RESULT_IO };
+	struct log_batch unreachable = { .result = RESULT_IO };
 	struct ev_loop *loop = ev_default_loop(0);
 	struct log_client c;
 	uint32_t before;
 
-	log_client_init(&c, loop, "127.0.0.1:1", &ops, &takers, &c);
+	log_client_init(&c, loop, "127.0.0.1:1", &ops, &record_handlers, &c);
 	ev_run(loop, EVRUN_ONCE);
-	log_client_read_done(&c, &away);
+	log_client_read_done(&c, &unreachable);
 	before = n_reads;
 	log_client_is_back(&c);
 	g_assert_cmpuint(n_reads, ==, before + 1);
 	n_regained = 0;
-	read_brings(&c, 0);
+	finish_read(&c, 0);
 	g_assert_cmpuint(n_regained, ==, 0);
-	log_client_read_done(&c, &away);
-	read_brings(&c, 0);
-	read_brings(&c, 0);
+	log_client_read_done(&c, &unreachable);
+	finish_read(&c, 0);
+	finish_read(&c, 0);
 	g_assert_cmpuint(n_regained, ==, 1);
 	log_client_finish(&c);
 }
@@ -147,11 +148,12 @@
 {
 	g_test_init(&argc, &argv, NULL);
 	g_test_add_func("/log-client/recovery-is-not-renewed",
-			test_recovery_is_not_renewed);
-	g_test_add_func("/log-client/news-is-gathered", test_news_is_gathered);
+			test_recovery_is_not_restarted);
+	g_test_add_func("/log-client/news-is-gathered",
+			test_new_records_are_batched);
 	g_test_add_func("/log-client/retries-are-bounded",
 			test_retries_are_bounded);
 	g_test_add_func("/log-client/return-holds-for-both",
-			test_return_holds_for_both);
+			test_other_stream_up_restarts_read);
 	return g_test_run();
 }
--- a/t/test-member.c
+++ b/t/test-member.c
@@ -12,18 +12,18 @@
 enum sim_kind {
 	SIM_HASHED, /* by nodes alone */
 	SIM_GRANTED, /* by servers, told by the answers to their heartbeats */
-	SIM_CROWDED, /* the same, and the answers have room for one row */
+	SIM_GRANTED_ONE_ROW, /* the same, and the answers have room for one row */
 	SIM_CALLED, /* by servers, told by calls */
 };
 
-static uint64_t faulty_run(struct sim *s, uint32_t seed, uint32_t rules,
-			   enum sim_kind kind)
+static uint64_t run_with_faults(struct sim *s, uint32_t seed, uint32_t rules,
+				enum sim_kind kind)
 {
 	int64_t end;
 
 	if (kind == SIM_CALLED)
 		sim_init_called(s, seed, rules);
-	else if (kind == SIM_GRANTED || kind == SIM_CROWDED)
+	else if (kind == SIM_GRANTED || kind == SIM_GRANTED_ONE_ROW)
 		sim_init_granted(s, seed, rules);
 	else
 		sim_init(s, seed, rules);
@@ -33,7 +33,7 @@
 	else
 		sim_converge(s, 20000);
 	s->loss = 0.02 * (seed % 5);
-	s->room = kind == SIM_CROWDED;
+	s->room = kind == SIM_GRANTED_ONE_ROW;
 	end = s->now + FAULTY_MS;
 	while (s->now < end && !s->breaches && (rules || !s->fence_breaches)) {
 		sim_run(s, g_rand_int_range(s->rand, 100, 3000));
@@ -57,7 +57,8 @@
 	for (i = 0; i < n_seeds; i++) {
 		struct sim s;
 
-		if (faulty_run(&s, first_seed + i, 0, GPOINTER_TO_UINT(kind)))
+		if (run_with_faults(&s, first_seed + i, 0,
+				    GPOINTER_TO_UINT(kind)))
 			g_error("seed %u: two owners", first_seed + i);
 		sim_heal(&s);
 		if (!sim_converge(&s, 60000)) {
@@ -92,7 +93,7 @@
 
 	for (seed = 1; seed <= 400; seed++) {
 		struct sim s;
-		uint64_t breaches = faulty_run(&s, seed, rule, kind);
+		uint64_t breaches = run_with_faults(&s, seed, rule, kind);
 
 		sim_finish(&s);
 		if (breaches) {
@@ -167,7 +168,8 @@
 	g_test_add_data_func("/member/random-grants",
 			     GUINT_TO_POINTER(SIM_GRANTED), test_random_faults);
 	g_test_add_data_func("/member/random-crowded",
-			     GUINT_TO_POINTER(SIM_CROWDED), test_random_faults);
+			     GUINT_TO_POINTER(SIM_GRANTED_ONE_ROW),
+			     test_random_faults);
 	g_test_add_data_func("/member/random-calls",
 			     GUINT_TO_POINTER(SIM_CALLED), test_random_faults);
 	for (i = 0; i < G_N_ELEMENTS(rule_names); i++) {
--- a/t/test-net.c
+++ b/t/test-net.c
@@ -54,7 +54,7 @@
 	g_byte_array_unref(data);
 }
 
-static GByteArray *encoded_member(void)
+static GByteArray *encoded_member_msg(void)
 {
 	GByteArray *out = g_byte_array_new();
 	struct member_msg m;
@@ -80,7 +80,8 @@
 	int i;
 
 	for (i = 0; i < N_MUTATIONS; i++) {
-		GByteArray *data = i % 2 ? encoded_request() : encoded_member();
+		GByteArray *data = i % 2 ? encoded_request()
+					 : encoded_member_msg();
 		int n = g_rand_int_range(rand, 1, 4);
 		struct request_msg r;
 		struct member_msg m;
@@ -124,7 +125,7 @@
 
 static uint32_t n_reads;
 static int64_t last_wait_ms;
-static int lost_result;
+static int append_result;
 
 static void fake_read(struct log_client *c, int64_t from, int64_t wait_ms)
 {
@@ -152,10 +153,10 @@
 	(void)user;
 	(void)kind;
 	(void)append_user;
-	lost_result = result;
+	append_result = result;
 }
 
-static void end_loop(struct ev_loop *loop, ev_timer *w, int events)
+static void break_loop(struct ev_loop *loop, ev_timer *w, int events)
 {
 	(void)w;
 	(void)events;
@@ -168,7 +169,7 @@
  * appends nothing more of that kind: an operator's change that it should bring
  * in would wait as long. So that read must not wait, and come at once.
  */
-static void test_lost_answer_is_settled(void)
+static void test_lost_append_answer_is_resolved(void)
 {
 	static const struct log_ops ops = { .read = fake_read,
 					    .append = fake_append };
@@ -186,15 +187,15 @@
 	ev_run(loop, EVRUN_ONCE);
 	g_assert_cmpuint(n_reads, ==, 1);
 	g_assert_cmpint(last_wait_ms, ==, 10000);
-	lost_result = RESULT_OK;
+	append_result = RESULT_OK;
 	log_client_append(&c, 0, false, NULL, json_object());
-	ev_timer_init(&stop, end_loop, 0.1, 0);
+	ev_timer_init(&stop, break_loop, 0.1, 0);
 	ev_timer_start(loop, &stop);
 	ev_run(loop, 0);
 	g_assert_cmpuint(n_reads, ==, 2);
 	g_assert_cmpint(last_wait_ms, ==, 0);
 	log_client_read_done(&c, &end);
-	g_assert_cmpint(lost_result, ==, RESULT_UNREACHABLE);
+	g_assert_cmpint(append_result, ==, RESULT_UNREACHABLE);
 	log_client_finish(&c);
 }
 
@@ -205,7 +206,7 @@
 	struct httpd httpd;
 	struct ev_loop *loop;
 	uint32_t n_appends;
-	int64_t last_at;
+	int64_t last_offset;
 	uint32_t n_reads;
 	int result; /* that the writer was told */
 };
@@ -223,8 +224,8 @@
 		return;
 	}
 	s->n_appends++;
-	s->last_at = g_ascii_strtoll(at, NULL, 10);
-	httpd_reply_text(r, s->last_at == STORE_END ? 200 : 412,
+	s->last_offset = g_ascii_strtoll(at, NULL, 10);
+	httpd_reply_text(r, s->last_offset == STORE_END ? 200 : 412,
 			 "{\"offset\":7,\"end_offset\":7}");
 }
 
@@ -244,7 +245,7 @@
 	ev_break(s->loop, EVBREAK_ALL);
 }
 
-static void append_to(struct refusing_store *s, bool anywhere)
+static void append_to(struct refusing_store *s, bool any_offset)
 {
 	static const struct httpd_ops ops = { .on_request = store_request,
 					      .on_closed = store_closed };
@@ -262,20 +263,20 @@
 			s);
 	ev_timer_stop(s->loop, &c.timer);
 	c.next = 3;
-	log_client_append(&c, 0, anywhere, NULL, json_object());
+	log_client_append(&c, 0, any_offset, NULL, json_object());
 	ev_run(s->loop, 0);
 	log_client_finish(&c);
 	httpd_finish(&s->httpd);
 }
 
 /* Many join at once: each that comes second follows instead of reading first. */
-static void test_append_follows(void)
+static void test_append_retried_at_end(void)
 {
 	struct refusing_store s;
 
 	append_to(&s, true);
 	g_assert_cmpint(s.result, ==, RESULT_OK);
-	g_assert_cmpint(s.last_at, ==, STORE_END);
+	g_assert_cmpint(s.last_offset, ==, STORE_END);
 	g_assert_cmpuint(s.n_appends, ==, 2);
 	g_assert_cmpuint(s.n_reads, ==, 0);
 	append_to(&s, false);
@@ -284,7 +285,7 @@
 }
 
 /* What was made short comes back whole, and rubbish as nothing. */
-static void test_short_form(void)
+static void test_deflate_round_trip(void)
 {
 	GString *text = g_string_new(NULL);
 	GString *packed, *back;
@@ -306,15 +307,15 @@
 	g_string_free(back, TRUE);
 }
 
-struct heard {
+struct received {
 	GBytes *identity;
 };
 
-static void on_peer(void *user, enum peer_plane plane,
-		    const struct peer_source *from, const void *data,
-		    size_t len)
+static void on_request_message(void *user, enum peer_plane plane,
+			       const struct peer_source *from, const void *data,
+			       size_t len)
 {
-	struct heard *h = user;
+	struct received *h = user;
 
 	g_assert_cmpint(plane, ==, PLANE_REQUEST);
 	g_assert_cmpmem(data, len, "ask", 3);
@@ -326,31 +327,31 @@
  * An entry that was killed leaves its requests in gates' queues. Whether
  * anything connects to it must be known without waiting for its lease's end.
  */
-static void test_link_gone(void)
+static void test_peer_disconnect_is_detected(void)
 {
 	struct ev_loop *loop = ev_loop_new(0);
-	struct heard heard = { 0 };
+	struct received received = { 0 };
 	struct peers gate, entry;
 	const void *id;
 	gsize len;
 
-	g_assert_cmpint(peers_init(&gate, loop, "127.0.0.1:25991", on_peer,
-				   &heard),
+	g_assert_cmpint(peers_init(&gate, loop, "127.0.0.1:25991",
+				   on_request_message, &received),
 			==, RESULT_OK);
-	g_assert_cmpint(peers_init(&entry, loop, "127.0.0.1:25992", on_peer,
-				   &heard),
+	g_assert_cmpint(peers_init(&entry, loop, "127.0.0.1:25992",
+				   on_request_message, &received),
 			==, RESULT_OK);
 	g_assert_cmpint(peers_send(&entry, "127.0.0.1:25991", PLANE_REQUEST,
 				   "ask", 3),
 			==, RESULT_OK);
-	while (!heard.identity)
+	while (!received.identity)
 		ev_run(loop, EVRUN_ONCE);
-	id = g_bytes_get_data(heard.identity, &len);
+	id = g_bytes_get_data(received.identity, &len);
 	g_assert_true(peers_reaches(&gate, id, len));
 	peers_finish(&entry);
 	while (peers_reaches(&gate, id, len))
 		ev_run(loop, EVRUN_NOWAIT);
-	g_bytes_unref(heard.identity);
+	g_bytes_unref(received.identity);
 	peers_finish(&gate);
 	ev_loop_destroy(loop);
 }
@@ -362,22 +363,22 @@
 			    const struct peer_source *from, const void *data,
 			    size_t len)
 {
-	GString *got = user;
+	GString *received_text = user;
 
 	(void)plane;
 	(void)from;
-	g_string_append_len(got, data, len);
+	g_string_append_len(received_text, data, len);
 }
 
 /* The library would keep a request for a peer that is gone, and send it late. */
-static void test_nothing_leaves_without_connection(void)
+static void test_nothing_sent_without_connection(void)
 {
 	struct ev_loop *loop = ev_default_loop(0);
-	GString *got = g_string_new(NULL);
+	GString *received_text = g_string_new(NULL);
 	struct peers p, other;
 
 	g_assert_cmpint(peers_init(&p, loop, PEER_ADDRESS, on_peer_message,
-				   got),
+				   received_text),
 			==, RESULT_OK);
 	g_assert_cmpint(peers_send_tagged(&p, OTHER_ADDRESS, PLANE_REQUEST, 1,
 					  "a", 1),
@@ -391,11 +392,11 @@
 	g_assert_true(peers_take_back(&p, OTHER_ADDRESS, 1));
 	g_assert_false(peers_take_back(&p, OTHER_ADDRESS, 1));
 	g_assert_cmpint(peers_init(&other, loop, OTHER_ADDRESS, on_peer_message,
-				   got),
+				   received_text),
 			==, RESULT_OK);
-	while (got->len < 2)
+	while (received_text->len < 2)
 		ev_run(loop, EVRUN_ONCE);
-	g_assert_cmpstr(got->str, ==, "bc");
+	g_assert_cmpstr(received_text->str, ==, "bc");
 	g_assert_false(peers_take_back(&p, OTHER_ADDRESS, 2));
 	peers_finish(&other);
 	/* It has ended: known as soon as the library has noticed. */
@@ -403,7 +404,7 @@
 		ev_run(loop, EVRUN_NOWAIT);
 	g_assert_false(peers_is_waiting(&p, OTHER_ADDRESS, 3));
 	peers_finish(&p);
-	g_string_free(got, TRUE);
+	g_string_free(received_text, TRUE);
 }
 
 static int listen_at(const char *address)
@@ -423,7 +424,7 @@
 }
 
 /* A connection that goes silent before it is set up: nothing else replaces it. */
-static void test_silent_setup_is_given_up(void)
+static void test_silent_connect_times_out(void)
 {
 	struct peers p;
 	int first, second;
@@ -450,13 +451,13 @@
 	g_test_add_func("/net/malformed", test_malformed);
 	g_test_add_func("/net/address", test_address);
 	g_test_add_func("/net/hop-by-hop", test_hop_by_hop);
-	g_test_add_func("/net/short-form", test_short_form);
+	g_test_add_func("/net/short-form", test_deflate_round_trip);
 	g_test_add_func("/net/nothing-leaves",
-			test_nothing_leaves_without_connection);
-	g_test_add_func("/net/silent-setup", test_silent_setup_is_given_up);
-	g_test_add_func("/net/append-follows", test_append_follows);
-	g_test_add_func("/net/link-gone", test_link_gone);
+			test_nothing_sent_without_connection);
+	g_test_add_func("/net/silent-setup", test_silent_connect_times_out);
+	g_test_add_func("/net/append-follows", test_append_retried_at_end);
+	g_test_add_func("/net/link-gone", test_peer_disconnect_is_detected);
 	g_test_add_func("/net/lost-answer-is-settled",
-			test_lost_answer_is_settled);
+			test_lost_append_answer_is_resolved);
 	return g_test_run();
 }
--- a/t/test-published.c
+++ b/t/test-published.c
@@ -53,19 +53,19 @@
 	struct published p;
 	json_t *doc, *text, *r;
 	char *dump = json_dumps(record, 0);
-	bool whole = false;
+	bool complete = false;
 
 	published_init(&p);
 	text = json_string(dump);
 	g_assert_true(published_take(&p, "config", text));
 	doc = published_document(&p, f->document);
 	g_assert_nonnull(doc);
-	while (!whole) {
+	while (!complete) {
 		json_t *changes =
-			changes_between(f->document, doc, MAX_BYTES, &whole);
+			changes_between(f->document, doc, MAX_BYTES, &complete);
 
 		r = record_changes(f->configuration_version, changes,
-				   f->source_offset + 1, whole, 0);
+				   f->source_offset + 1, complete, 0);
 		g_assert_cmpint(fleet_apply(f, f->applied + 1, "", r), ==,
 				RESULT_OK);
 		json_decref(r);
@@ -117,7 +117,7 @@
 }
 
 /* One figure beyond what is used here must not keep the others out. */
-static void test_figures_beyond_bounds(void)
+static void test_out_of_range_values(void)
 {
 	json_t *rules = json_array();
 	json_t *odd = rule("odd", "/odd/", "records");
@@ -192,8 +192,8 @@
 }
 
 /* The longest path of the request's host or of any, looked for among all. */
-static const char *plain_match(const json_t *doc, const char *method,
-			       const char *host, const char *path)
+static const char *linear_match(const json_t *doc, const char *method,
+				const char *host, const char *path)
 {
 	const char *best = NULL;
 	size_t best_rank = 0;
@@ -234,12 +234,12 @@
 			path[j] = "ab/"[g_rand_int_range(rand, 0, 3)];
 		k = configuration_match(cfg, method, host, path);
 		g_assert_cmpstr(k ? k->name : NULL, ==,
-				plain_match(doc, method, host, path));
+				linear_match(doc, method, host, path));
 	}
 }
 
 /* One after the other, in parts of any size, changes lead to what was meant. */
-static void test_changes_lead_to_the_same(void)
+static void test_changes_reproduce_document(void)
 {
 	GRand *rand = g_rand_new_with_seed(28);
 	struct fleet f;
@@ -249,13 +249,13 @@
 	for (i = 1; i <= N_ROUNDS; i++) {
 		json_t *doc = random_document(rand, i);
 		size_t max = g_rand_int_range(rand, 1, 4000);
-		bool whole = false;
+		bool complete = false;
 
-		while (!whole) {
-			json_t *changes =
-				changes_between(f.document, doc, max, &whole);
+		while (!complete) {
+			json_t *changes = changes_between(f.document, doc, max,
+							  &complete);
 			json_t *r = record_changes(f.configuration_version,
-						   changes, i, whole, 0);
+						   changes, i, complete, 0);
 
 			g_assert_cmpint(fleet_apply(&f, f.applied + 1, "", r),
 					==, RESULT_OK);
@@ -276,7 +276,7 @@
 				   "services", "name", "records", "classes",
 				   json_array(), "data_centres");
 	json_t *after, *changes;
-	bool whole;
+	bool complete;
 	int i;
 
 	for (i = 0; i < N_ROUTES; i++)
@@ -291,8 +291,8 @@
 					   77),
 			    "target_ms", json_integer(6));
 	json_object_set_new(after, "source", json_integer(2));
-	changes = changes_between(before, after, MAX_BYTES, &whole);
-	g_assert_true(whole);
+	changes = changes_between(before, after, MAX_BYTES, &complete);
+	g_assert_true(complete);
 	g_assert_cmpuint(json_dumpb(changes, NULL, 0, JSON_COMPACT), <, 300);
 	json_decref(changes);
 	json_decref(before);
@@ -300,7 +300,7 @@
 }
 
 /* A change that is broken leaves what was in force whole. */
-static void test_broken_changes(void)
+static void test_malformed_changes(void)
 {
 	static const char *const texts[] = {
 		"{}",
@@ -336,7 +336,7 @@
 	fleet_finish(&f);
 }
 
-static void take_text(struct published *p, const char *key, const char *text)
+static void apply_text(struct published *p, const char *key, const char *text)
 {
 	json_t *value = text ? json_string(text) : json_null();
 
@@ -354,7 +354,8 @@
 	return version;
 }
 
-static uint32_t n_evacuated(const struct published *p, const json_t *in_force)
+static uint32_t count_evacuated(const struct published *p,
+				const json_t *in_force)
 {
 	json_t *doc = published_document(p, in_force);
 	uint32_t n = json_array_size(json_object_get(doc, "data_centres"));
@@ -380,14 +381,14 @@
 		json_t *in_force;
 
 		published_init(&p);
-		take_text(&p, "config", text);
+		apply_text(&p, "config", text);
 		in_force = published_document(&p, NULL);
-		take_text(&p, "config", unusable[i]);
-		take_text(&p, "evacuate/hakata", "{}");
+		apply_text(&p, "config", unusable[i]);
+		apply_text(&p, "evacuate/hakata", "{}");
 		g_assert_cmpint(version_of_document(&p, in_force), ==, 5);
-		g_assert_cmpuint(n_evacuated(&p, in_force), ==, 1);
-		take_text(&p, "evacuate/hakata", NULL);
-		g_assert_cmpuint(n_evacuated(&p, in_force), ==, 0);
+		g_assert_cmpuint(count_evacuated(&p, in_force), ==, 1);
+		apply_text(&p, "evacuate/hakata", NULL);
+		g_assert_cmpuint(count_evacuated(&p, in_force), ==, 0);
 		json_decref(in_force);
 		published_finish(&p);
 	}
@@ -406,8 +407,8 @@
 
 	fatal = g_log_set_always_fatal(G_LOG_FATAL_MASK | G_LOG_LEVEL_CRITICAL);
 	published_init(&p);
-	take_text(&p, "config", text);
-	take_text(&p, "config", "{\"version\":");
+	apply_text(&p, "config", text);
+	apply_text(&p, "config", "{\"version\":");
 	g_assert_cmpint(version_of_document(&p, NULL), ==, 5);
 	published_finish(&p);
 	g_log_set_always_fatal(fatal);
@@ -439,8 +440,8 @@
 	GRand *rand = g_rand_new_with_seed(28);
 	json_t *before = random_routes(rand, 40000);
 	json_t *after = random_routes(rand, 1);
-	bool whole;
-	json_t *changes = changes_between(before, after, MAX_BYTES, &whole);
+	bool complete;
+	json_t *changes = changes_between(before, after, MAX_BYTES, &complete);
 	char *text = json_dumps(changes, JSON_COMPACT);
 	GString *packed = deflate_bytes(text, strlen(text));
 
@@ -460,12 +461,12 @@
 			test_routes_without_bound);
 	g_test_add_func("/published/long-names", test_long_names);
 	g_test_add_func("/published/figures-beyond-bounds",
-			test_figures_beyond_bounds);
+			test_out_of_range_values);
 	g_test_add_func("/published/changes-lead-to-the-same",
-			test_changes_lead_to_the_same);
+			test_changes_reproduce_document);
 	g_test_add_func("/published/small-change-is-short",
 			test_small_change_is_short);
-	g_test_add_func("/published/broken-changes", test_broken_changes);
+	g_test_add_func("/published/broken-changes", test_malformed_changes);
 	g_test_add_func("/published/evacuation-after-unusable",
 			test_evacuation_after_unusable);
 	g_test_add_func("/published/unusable-before-in-force",
--- a/t/test-readers.c
+++ b/t/test-readers.c
@@ -6,7 +6,7 @@
 #define FIRST_READERS 2
 #define N_RECORDS 20
 
-static void start(struct sim *s, uint32_t seed)
+static void start_fleet(struct sim *s, uint32_t seed)
 {
 	sim_init_granted(s, seed, 0);
 	g_assert_true(sim_converge(s, 20000));
@@ -29,7 +29,7 @@
 }
 
 /* Whether all that run have applied what is in the log now, within a time. */
-static bool all_hear(struct sim *s, int64_t within_ms)
+static bool all_apply(struct sim *s, int64_t within_ms)
 {
 	int64_t end = s->log->len - 1;
 	uint32_t i;
@@ -42,7 +42,7 @@
 }
 
 /* Each record is read by two, however many pass it on. */
-static void test_two_read_for_all(void)
+static void test_two_readers_for_fleet(void)
 {
 	uint32_t seed, i;
 
@@ -50,11 +50,11 @@
 		uint64_t before;
 		struct sim s;
 
-		start(&s, seed);
+		start_fleet(&s, seed);
 		before = count_reads(&s);
 		for (i = 0; i < N_RECORDS; i++) {
 			append_padding(&s);
-			g_assert_true(all_hear(&s, 300));
+			g_assert_true(all_apply(&s, 300));
 		}
 		g_assert_cmpuint(count_reads(&s) - before, <=,
 				 FIRST_READERS * N_RECORDS + 4);
@@ -70,13 +70,13 @@
 	for (seed = 1; seed <= 5; seed++) {
 		struct sim s;
 
-		start(&s, seed);
+		start_fleet(&s, seed);
 		for (i = 0; i < SIM_NODES; i++)
 			s.nodes[i].log_cut = s.nodes[i].member.is_log_reader;
 		append_padding(&s);
-		g_assert_true(all_hear(&s, 2500));
+		g_assert_true(all_apply(&s, 2500));
 		append_padding(&s);
-		g_assert_true(all_hear(&s, 1200));
+		g_assert_true(all_apply(&s, 1200));
 		sim_finish(&s);
 	}
 }
@@ -89,60 +89,61 @@
 	for (seed = 1; seed <= 5; seed++) {
 		struct sim s;
 
-		start(&s, seed);
+		start_fleet(&s, seed);
 		for (i = 0; i < SIM_NODES; i++)
 			if (s.nodes[i].member.is_log_reader)
 				sim_kill(&s, i);
 		append_padding(&s);
-		g_assert_true(all_hear(&s, 2500));
+		g_assert_true(all_apply(&s, 2500));
 		sim_finish(&s);
 	}
 }
 
 /* Those who are told that there is no news do not look for it. */
-static void test_who_is_told_reads_seldom(void)
+static void test_notified_nodes_read_rarely(void)
 {
-	uint64_t looks[SIM_NODES];
+	uint64_t looks_before[SIM_NODES];
 	struct sim s;
 	uint32_t i;
 
-	start(&s, 3);
+	start_fleet(&s, 3);
 	sim_run(&s, 15000);
 	for (i = 0; i < SIM_NODES; i++)
-		looks[i] = s.nodes[i].n_looks;
+		looks_before[i] = s.nodes[i].n_looks;
 	sim_run(&s, 50000);
 	for (i = 0; i < SIM_NODES; i++)
 		if (!s.nodes[i].member.is_log_reader)
-			g_assert_cmpuint(s.nodes[i].n_looks - looks[i], <=, 2);
+			g_assert_cmpuint(s.nodes[i].n_looks - looks_before[i],
+					 <=, 2);
 	sim_finish(&s);
 }
 
 /* All who pass records on are cut off from the log: the rest look themselves. */
-static void test_all_who_pass_on_cut_off(void)
+static void test_all_relays_cut_off(void)
 {
 	uint32_t seed, i;
 
 	for (seed = 1; seed <= 5; seed++) {
-		uint32_t n_left = 0;
+		uint32_t n_others = 0;
 		struct sim s;
 
-		start(&s, seed);
+		start_fleet(&s, seed);
 		sim_run(&s, 15000);
 		for (i = 0; i < SIM_NODES; i++) {
 			const struct member_node *m = &s.nodes[i].member;
 
 			s.nodes[i].log_cut = m->is_log_reader || m->is_relay;
-			n_left += !s.nodes[i].log_cut;
+			n_others += !s.nodes[i].log_cut;
 		}
-		g_assert_cmpuint(n_left, >, 0);
+		g_assert_cmpuint(n_others, >, 0);
 		append_padding(&s);
-		g_assert_true(all_hear(&s, 10000));
+		g_assert_true(all_apply(&s, 10000));
 		sim_finish(&s);
 	}
 }
 
 /* A fleet that starts reads little until each has joined. */
-static void test_who_joins_reads_little(void)
+static void test_joining_node_reads_little(void)
 {
 	struct read_plan p;
 	struct sim s;
@@ -175,7 +176,7 @@
 	struct member *m;
 	struct sim s;
 
-	start(&s, 2);
+	start_fleet(&s, 2);
 	m = fleet_member(&s.nodes[0].member.fleet, s.nodes[0].member.self_id);
 	m->witnesses = log;
 	read_plan_make(&s.nodes[0].member, 10000, &p);
@@ -189,17 +190,18 @@
 int main(int argc, char **argv)
 {
 	g_test_init(&argc, &argv, NULL);
-	g_test_add_func("/readers/two-read-for-all", test_two_read_for_all);
+	g_test_add_func("/readers/two-read-for-all",
+			test_two_readers_for_fleet);
 	g_test_add_func("/readers/first-readers-cut-off",
 			test_first_readers_cut_off);
 	g_test_add_func("/readers/first-readers-killed",
 			test_first_readers_killed);
 	g_test_add_func("/readers/who-is-told-reads-seldom",
-			test_who_is_told_reads_seldom);
+			test_notified_nodes_read_rarely);
 	g_test_add_func("/readers/all-who-pass-on-cut-off",
-			test_all_who_pass_on_cut_off);
+			test_all_relays_cut_off);
 	g_test_add_func("/readers/who-joins-reads-little",
-			test_who_joins_reads_little);
+			test_joining_node_reads_little);
 	g_test_add_func("/readers/log-as-witness-is-read-often",
 			test_log_as_witness_is_read_often);
 	return g_test_run();
--- a/t/test-recovery.c
+++ b/t/test-recovery.c
@@ -9,39 +9,39 @@
 
 /* A fleet whose servers hold by grants, at rest for a while. */
 static void start_granted(struct sim *s, uint32_t seed, uint32_t rules,
-			  int64_t quiet_ms)
+			  int64_t settle_ms)
 {
 	sim_init_granted(s, seed, rules);
 	s->verbose = g_getenv("VERBOSE") != NULL;
 	g_assert_true(sim_converge(s, 20000));
-	sim_run(s, quiet_ms);
+	sim_run(s, settle_ms);
 }
 
-static uint64_t heir_forgets(uint32_t seed, uint32_t rules)
+static uint64_t successor_restarts(uint32_t seed, uint32_t rules)
 {
 	struct fleet_service *sv;
 	struct sim s;
 	uint64_t breaches;
-	int owner, heir;
+	int owner, successor;
 
 	start_granted(&s, seed, rules, 30000);
 	sv = fleet_service(sim_newest(&s), "records");
 	owner = sim_slot(&s, sv->shards[0].owner);
-	heir = sim_slot(&s, sv->shards[0].successor);
+	successor = sim_slot(&s, sv->shards[0].successor);
 	/* The heir takes over, and the log does not hear of it. */
 	s.log_down_until = s.now + 100000;
 	sim_kill(&s, owner);
 	sim_run(&s, 8000);
-	g_assert_cmpint(sim_server(&s, 0), ==, heir);
+	g_assert_cmpint(sim_server(&s, 0), ==, successor);
 	/* Both are back; the heir's server reports before the log is read. */
 	s.log_down_until = 0;
-	sim_kill(&s, heir);
-	sim_start(&s, heir);
-	s.nodes[heir].log_cut = true;
-	s.nodes[heir].backend.next_beat = s.now;
+	sim_kill(&s, successor);
+	sim_start(&s, successor);
+	s.nodes[successor].log_cut = true;
+	s.nodes[successor].backend.next_beat = s.now;
 	sim_run(&s, 3 * SIM_STEP_MS);
-	s.nodes[heir].log_cut = false;
-	s.nodes[heir].backend.next_beat = s.now + 10000;
+	s.nodes[successor].log_cut = false;
+	s.nodes[successor].backend.next_beat = s.now + 10000;
 	sim_start(&s, owner);
 	s.nodes[owner].backend.next_beat = s.now;
 	sim_run(&s, 4000);
@@ -56,16 +56,17 @@
  * heir's new process, which knows of nothing it holds. Taken for free, the key
  * would be served by two servers.
  */
-static void test_heir_forgets(void)
+static void test_successor_restarts(void)
 {
-	uint64_t without = 0;
+	uint64_t breaches_without_rule = 0;
 	uint32_t seed;
 
 	for (seed = 1; seed <= 10; seed++) {
-		g_assert_cmpuint(heir_forgets(seed, 0), ==, 0);
-		without += heir_forgets(seed, RULE_SERVER_REPORTS_FIRST);
+		g_assert_cmpuint(successor_restarts(seed, 0), ==, 0);
+		breaches_without_rule +=
+			successor_restarts(seed, RULE_SERVER_REPORTS_FIRST);
 	}
-	g_assert_cmpuint(without, >, 0);
+	g_assert_cmpuint(breaches_without_rule, >, 0);
 }
 
 static uint64_t late_call(uint32_t seed, uint32_t grant_rules)
@@ -76,7 +77,7 @@
 	struct sim s;
 	uint64_t breaches;
 	int64_t fence;
-	int owner, heir;
+	int owner, successor;
 
 	sim_init_called(&s, seed, grant_rules);
 	s.verbose = g_getenv("VERBOSE") != NULL;
@@ -84,11 +85,11 @@
 	sim_run(&s, 15000);
 	sv = fleet_service(sim_newest(&s), "records");
 	owner = sim_slot(&s, sv->shards[0].owner);
-	heir = sim_slot(&s, sv->shards[0].successor);
-	nd = &s.nodes[heir];
+	successor = sim_slot(&s, sv->shards[0].successor);
+	nd = &s.nodes[successor];
 	s.log_down_until = s.now + 100000;
 	sim_kill(&s, owner);
-	while (sim_server(&s, 0) != heir)
+	while (sim_server(&s, 0) != successor)
 		sim_step(&s);
 	/* Sent as the heir is killed, and carried out as its hold would end. */
 	g_assert_true(member_holds(&nd->member, 0, &fence));
@@ -113,14 +114,15 @@
  */
 static void test_late_call(void)
 {
-	uint64_t without = 0;
+	uint64_t breaches_without_rule = 0;
 	uint32_t seed;
 
 	for (seed = 1; seed <= 10; seed++) {
 		g_assert_cmpuint(late_call(seed, 0), ==, 0);
-		without += late_call(seed, GRANT_RULE_PREV_PROCESS_IN_DOUBT);
+		breaches_without_rule +=
+			late_call(seed, GRANT_RULE_PREV_PROCESS_IN_DOUBT);
 	}
-	g_assert_cmpuint(without, >, 0);
+	g_assert_cmpuint(breaches_without_rule, >, 0);
 }
 
 /*
@@ -128,7 +130,7 @@
  * as there are nodes. A few read, and the others must have it as soon. Reads
  * for one change by eight nodes: eight before, four now.
  */
-static void test_passed_on(void)
+static void test_records_are_relayed(void)
 {
 	uint64_t reads = 0;
 	struct sim s;
@@ -149,7 +151,7 @@
 }
 
 /* The new process finds a snapshot in the log, and no record before it. */
-static void restart_beside_server(struct sim *s, int slot)
+static void restart_node_beside_server(struct sim *s, int slot)
 {
 	struct sim_node *nd = &s->nodes[slot];
 	json_t *snapshot = fleet_snapshot(sim_newest(s));
@@ -163,7 +165,7 @@
 	nd->backend.next_beat = s->now;
 }
 
-static uint64_t unknown_past(uint32_t seed, uint32_t rules)
+static uint64_t unknown_record_age(uint32_t seed, uint32_t rules)
 {
 	struct fleet_service *sv;
 	struct sim s;
@@ -175,11 +177,11 @@
 	a = sv->shards[0].owner;
 	x = sim_other_member(&s, a, sv->shards[0].successor, 0);
 	sim_append_move(&s, 0, x, sim_other_member(&s, a, x, 0));
-	restart_beside_server(&s, sim_slot(&s, a));
+	restart_node_beside_server(&s, sim_slot(&s, a));
 	sim_run(&s, 200);
 	/* The first server holds on, and hears of nothing. */
 	s.nodes[s.top_slot[0]].backend.next_beat = s.now + 10000;
-	restart_beside_server(&s, sim_slot(&s, x));
+	restart_node_beside_server(&s, sim_slot(&s, x));
 	sim_run(&s, 6000);
 	breaches = s.breaches;
 	sim_finish(&s);
@@ -193,16 +195,17 @@
  * the records in the log, and not how old they are. Serving at once, it would
  * give the key a second server.
  */
-static void test_unknown_past(void)
+static void test_unknown_record_age(void)
 {
-	uint64_t without = 0;
+	uint64_t breaches_without_rule = 0;
 	uint32_t seed;
 
 	for (seed = 1; seed <= 10; seed++) {
-		g_assert_cmpuint(unknown_past(seed, 0), ==, 0);
-		without += unknown_past(seed, RULE_WAIT_AFTER_START);
+		g_assert_cmpuint(unknown_record_age(seed, 0), ==, 0);
+		breaches_without_rule +=
+			unknown_record_age(seed, RULE_WAIT_AFTER_START);
 	}
-	g_assert_cmpuint(without, >, 0);
+	g_assert_cmpuint(breaches_without_rule, >, 0);
 }
 
 /*
@@ -213,35 +216,35 @@
  * the first, and is read before the server beside has been heard: taken for
  * news, the restarts in it would have every key wait for a lease's length.
  */
-#define ALL_SERVERS 1 /* the servers end as well */
-#define ALL_CALLED 2 /* they are told by calls what they hold */
-#define ALL_AGAIN 4 /* and all of it for the second time */
+#define ALL_WITH_SERVERS 1 /* the servers end as well */
+#define ALL_BY_CALL 2 /* they are told by calls what they hold */
+#define ALL_TWICE 4 /* and all of it for the second time */
 
 static void test_all_killed(gconstpointer data)
 {
-	uint32_t how = GPOINTER_TO_UINT(data);
+	uint32_t variant = GPOINTER_TO_UINT(data);
 	int64_t longest = 0;
 	uint32_t seed;
 
 	for (seed = 1; seed <= 20; seed++) {
 		struct sim s;
-		int64_t began;
+		int64_t started_at_ms;
 
-		if (how & ALL_CALLED)
+		if (variant & ALL_BY_CALL)
 			sim_init_called(&s, seed, 0);
 		else
 			sim_init_granted(&s, seed, 0);
 		s.verbose = g_getenv("VERBOSE") != NULL;
 		g_assert_true(sim_converge(&s, 20000));
 		sim_run(&s, 15000);
-		if (how & ALL_AGAIN) {
-			sim_kill_all(&s, how & ALL_SERVERS, 1300);
+		if (variant & ALL_TWICE) {
+			sim_kill_all(&s, variant & ALL_WITH_SERVERS, 1300);
 			sim_run(&s, 15000);
 		}
-		sim_kill_all(&s, how & ALL_SERVERS, 1300);
-		began = s.now;
+		sim_kill_all(&s, variant & ALL_WITH_SERVERS, 1300);
+		started_at_ms = s.now;
 		sim_converge(&s, 30000);
-		longest = MAX(longest, s.now - began);
+		longest = MAX(longest, s.now - started_at_ms);
 		g_assert_cmpuint(s.breaches, ==, 0);
 		g_assert_cmpuint(s.fence_breaches, ==, 0);
 		sim_finish(&s);
@@ -258,20 +261,21 @@
 	g_test_init(&argc, &argv, NULL);
 	g_test_add_data_func("/recovery/all-killed", NULL, test_all_killed);
 	g_test_add_data_func("/recovery/all-without-power",
-			     GUINT_TO_POINTER(ALL_SERVERS), test_all_killed);
+			     GUINT_TO_POINTER(ALL_WITH_SERVERS),
+			     test_all_killed);
 	g_test_add_data_func("/recovery/all-killed-by-call",
-			     GUINT_TO_POINTER(ALL_CALLED), test_all_killed);
+			     GUINT_TO_POINTER(ALL_BY_CALL), test_all_killed);
 	g_test_add_data_func("/recovery/all-without-power-by-call",
-			     GUINT_TO_POINTER(ALL_SERVERS | ALL_CALLED),
+			     GUINT_TO_POINTER(ALL_WITH_SERVERS | ALL_BY_CALL),
 			     test_all_killed);
 	g_test_add_data_func("/recovery/all-killed-again",
-			     GUINT_TO_POINTER(ALL_AGAIN), test_all_killed);
+			     GUINT_TO_POINTER(ALL_TWICE), test_all_killed);
 	g_test_add_data_func("/recovery/all-killed-again-by-call",
-			     GUINT_TO_POINTER(ALL_CALLED | ALL_AGAIN),
+			     GUINT_TO_POINTER(ALL_BY_CALL | ALL_TWICE),
 			     test_all_killed);
-	g_test_add_func("/recovery/unknown-past", test_unknown_past);
-	g_test_add_func("/recovery/heir-forgets", test_heir_forgets);
+	g_test_add_func("/recovery/unknown-past", test_unknown_record_age);
+	g_test_add_func("/recovery/heir-forgets", test_successor_restarts);
 	g_test_add_func("/recovery/late-call", test_late_call);
-	g_test_add_func("/recovery/passed-on", test_passed_on);
+	g_test_add_func("/recovery/passed-on", test_records_are_relayed);
 	return g_test_run();
 }
--- a/t/test-route.c
+++ b/t/test-route.c
@@ -24,8 +24,8 @@
 	g_assert_cmpint(spent, >=, 90);
 }
 
-static int share_of(struct chooser *c, const struct gate_option *ids,
-		    uint32_t n, int64_t id, int64_t now)
+static int count_picks(struct chooser *c, const struct gate_option *ids,
+		       uint32_t n, int64_t id, int64_t now)
 {
 	int got = 0;
 	int i;
@@ -40,7 +40,7 @@
  * requests away. Each that is sent on to another server is a repeat, and a
  * storm of them would double the load of a service that is short already.
  */
-static void test_turned_away_spends_budget(void)
+static void test_misdirected_spends_budget(void)
 {
 	struct retry_budget b;
 	uint32_t sent = 0;
@@ -70,29 +70,29 @@
 	struct plan_attempt sent; /* and of one that has */
 };
 
-#define STAYS(s)                                   \
+#define OPEN(s)                                    \
 	{                                          \
 		.state = ATTEMPT_##s, .open = true \
 	}
-#define ENDS(s)                                     \
+#define CLOSED(s)                                   \
 	{                                           \
 		.state = ATTEMPT_##s, .open = false \
 	}
 
 static const struct expected table[] = {
-	{ ATTEMPT_EVENT_SENT, STAYS(SENT), STAYS(SENT) },
-	{ ATTEMPT_EVENT_UNSENT, ENDS(NOT_SENT), STAYS(SENT) },
-	{ ATTEMPT_EVENT_REFUSED, ENDS(NOT_RUN), ENDS(NOT_RUN) },
-	{ ATTEMPT_EVENT_SERVER_REFUSED, ENDS(NOT_RUN), ENDS(NOT_RUN) },
-	{ ATTEMPT_EVENT_CUT, ENDS(STARTED), ENDS(STARTED) },
-	{ ATTEMPT_EVENT_SERVER_LATE, ENDS(STARTED), ENDS(STARTED) },
-	{ ATTEMPT_EVENT_IN_DOUBT, ENDS(UNKNOWN), ENDS(UNKNOWN) },
-	{ ATTEMPT_EVENT_MIXED, ENDS(STARTED), ENDS(STARTED) },
-	{ ATTEMPT_EVENT_LEASE_OVER, ENDS(NOT_SENT), STAYS(SENT) },
-	{ ATTEMPT_EVENT_SUPERSEDED, ENDS(NOT_SENT), ENDS(UNKNOWN) },
-	{ ATTEMPT_EVENT_TIMEOUT, ENDS(NOT_SENT), ENDS(UNKNOWN) },
-	{ ATTEMPT_EVENT_STOPPING, ENDS(NOT_SENT), ENDS(UNKNOWN) },
-	{ ATTEMPT_EVENT_ANSWERED, ENDS(ANSWERED), ENDS(ANSWERED) },
+	{ ATTEMPT_EVENT_SENT, OPEN(SENT), OPEN(SENT) },
+	{ ATTEMPT_EVENT_UNSENT, CLOSED(NOT_SENT), OPEN(SENT) },
+	{ ATTEMPT_EVENT_REFUSED, CLOSED(NOT_RUN), CLOSED(NOT_RUN) },
+	{ ATTEMPT_EVENT_SERVER_REFUSED, CLOSED(NOT_RUN), CLOSED(NOT_RUN) },
+	{ ATTEMPT_EVENT_CUT, CLOSED(STARTED), CLOSED(STARTED) },
+	{ ATTEMPT_EVENT_SERVER_LATE, CLOSED(STARTED), CLOSED(STARTED) },
+	{ ATTEMPT_EVENT_IN_DOUBT, CLOSED(UNKNOWN), CLOSED(UNKNOWN) },
+	{ ATTEMPT_EVENT_MIXED, CLOSED(STARTED), CLOSED(STARTED) },
+	{ ATTEMPT_EVENT_LEASE_OVER, CLOSED(NOT_SENT), OPEN(SENT) },
+	{ ATTEMPT_EVENT_SUPERSEDED, CLOSED(NOT_SENT), CLOSED(UNKNOWN) },
+	{ ATTEMPT_EVENT_TIMEOUT, CLOSED(NOT_SENT), CLOSED(UNKNOWN) },
+	{ ATTEMPT_EVENT_STOPPING, CLOSED(NOT_SENT), CLOSED(UNKNOWN) },
+	{ ATTEMPT_EVENT_ANSWERED, CLOSED(ANSWERED), CLOSED(ANSWERED) },
 };
 
 static void check_attempt(const struct plan_attempt *is,
@@ -109,7 +109,7 @@
 	g_assert_cmpuint(G_N_ELEMENTS(table), ==, ATTEMPT_N_EVENTS);
 	for (i = 0; i < ATTEMPT_N_EVENTS; i++) {
 		struct plan p = { 0 };
-		struct plan_attempt end;
+		struct plan_attempt closed;
 
 		g_assert_cmpint(plan_add_attempt(&p), ==, 0);
 		g_assert_cmpint(plan_add_attempt(&p), ==, 1);
@@ -122,11 +122,12 @@
 			continue;
 		g_assert_cmpint(p.attempts[1].last_event, ==, table[i].event);
 		/* Nothing moves it any more. */
-		end = p.attempts[1];
+		closed = p.attempts[1];
 		for (j = 0; j < ATTEMPT_N_EVENTS; j++)
 			plan_attempt_event(&p, 1, j);
-		check_attempt(&p.attempts[1], &end);
-		g_assert_cmpint(p.attempts[1].last_event, ==, end.last_event);
+		check_attempt(&p.attempts[1], &closed);
+		g_assert_cmpint(p.attempts[1].last_event, ==,
+				closed.last_event);
 	}
 }
 
@@ -174,8 +175,8 @@
 			      .max_servers = 2 };
 }
 
-static enum plan_step end(struct plan *p, enum attempt_event why,
-			  int64_t now_ms)
+static enum plan_step end_attempt(struct plan *p, enum attempt_event why,
+				  int64_t now_ms)
 {
 	struct retry_budget b;
 
@@ -184,25 +185,28 @@
 }
 
 /* A booking for a gate whose process has ended goes to another gate. */
-static void test_unsent_booking_goes_on(void)
+static void test_unsent_attempt_is_retried(void)
 {
 	struct plan p = booking();
 	enum plan_step step = PLAN_SEND;
 	uint32_t n;
 
 	plan_add_attempt(&p);
-	g_assert_cmpint(end(&p, ATTEMPT_EVENT_UNSENT, 10), ==, PLAN_SEND);
+	g_assert_cmpint(end_attempt(&p, ATTEMPT_EVENT_UNSENT, 10), ==,
+			PLAN_SEND);
 	plan_add_attempt(&p);
 	plan_attempt_event(&p, 1, ATTEMPT_EVENT_SENT);
-	g_assert_cmpint(end(&p, ATTEMPT_EVENT_TIMEOUT, 20), ==, PLAN_UNKNOWN);
+	g_assert_cmpint(end_attempt(&p, ATTEMPT_EVENT_TIMEOUT, 20), ==,
+			PLAN_UNKNOWN);
 	p = booking();
 	plan_add_attempt(&p);
-	g_assert_cmpint(end(&p, ATTEMPT_EVENT_TIMEOUT, 1000), ==, PLAN_REFUSE);
+	g_assert_cmpint(end_attempt(&p, ATTEMPT_EVENT_TIMEOUT, 1000), ==,
+			PLAN_REFUSE);
 	/* With no gate in reach the caller is told so, not kept waiting. */
 	p = booking();
 	for (n = 0; n < PLAN_MAX_TRIES && step == PLAN_SEND; n++) {
 		plan_add_attempt(&p);
-		step = end(&p, ATTEMPT_EVENT_UNSENT, 100);
+		step = end_attempt(&p, ATTEMPT_EVENT_UNSENT, 100);
 	}
 	g_assert_cmpint(step, ==, PLAN_REFUSE);
 	g_assert_cmpuint(n, <=, 4);
@@ -269,9 +273,9 @@
 		chooser_sent(&c, ids[i].member, 0);
 		chooser_answered(&c, ids[i].member, 2, 1, 10, 2);
 	}
-	g_assert_cmpint(share_of(&c, ids, 4, 1, 3), >, 150);
+	g_assert_cmpint(count_picks(&c, ids, 4, 1, 3), >, 150);
 	chooser_sent(&c, 1, 3);
-	g_assert_cmpint(share_of(&c, ids, 4, 1, 100), <, 10);
+	g_assert_cmpint(count_picks(&c, ids, 4, 1, 100), <, 10);
 	chooser_finish(&c);
 }
 
@@ -289,7 +293,8 @@
 	}
 	chooser_refused(&c, 1, 100, 2);
 	for (i = 1; i < 3; i++)
-		g_assert_cmpint(share_of(&c, ids, 4, ids[i].member, 3), <, 700);
+		g_assert_cmpint(count_picks(&c, ids, 4, ids[i].member, 3), <,
+				700);
 	chooser_finish(&c);
 }
 
@@ -320,10 +325,10 @@
 		chooser_sent(&c, ids[i].member, 0);
 		chooser_answered(&c, ids[i].member, 100, 9, 10, 2);
 	}
-	g_assert_cmpint(share_of(&c, ids, 3, 1, 3), >, 850);
+	g_assert_cmpint(count_picks(&c, ids, 3, 1, 3), >, 850);
 	chooser_sent(&c, 1, 3);
 	chooser_answered(&c, 1, 100, 90, 10, 4);
-	g_assert_cmpint(share_of(&c, ids, 3, 1, 5), <, 50);
+	g_assert_cmpint(count_picks(&c, ids, 3, 1, 5), <, 50);
 	chooser_finish(&c);
 }
 
@@ -331,7 +336,7 @@
  * A server joins, cold. Nothing is known of its gate yet, and entries that take
  * that for quick send it all they have.
  */
-static void test_unknown_is_not_quick(void)
+static void test_unknown_gate_gets_few(void)
 {
 	struct gate_option ids[] = { { 1, 0 }, { 2, 0 }, { 3, 0 }, { 4, 0 } };
 	struct chooser c;
@@ -342,8 +347,8 @@
 		chooser_sent(&c, ids[i].member, 0);
 		chooser_answered(&c, ids[i].member, 100, 5, 18, 2);
 	}
-	g_assert_cmpint(share_of(&c, ids, 4, 4, 3), <, 300);
-	g_assert_cmpint(share_of(&c, ids, 4, 4, 3), >, 20);
+	g_assert_cmpint(count_picks(&c, ids, 4, 4, 3), <, 300);
+	g_assert_cmpint(count_picks(&c, ids, 4, 4, 3), >, 20);
 	chooser_finish(&c);
 }
 
@@ -352,18 +357,18 @@
  * listed meanwhile. With nothing to do it looks the quickest, so that each
  * request would spend one of its few offers there.
  */
-static void test_stopping_gate_is_left_alone(void)
+static void test_stopping_gate_is_avoided(void)
 {
 	struct gate_option options[] = { { .member = 1 }, { .member = 2 } };
-	const struct chooser_ops *ways[] = { &chooser_soonest,
-					     &chooser_two_choices };
+	const struct chooser_ops *policies[] = { &chooser_soonest,
+						 &chooser_two_choices };
 	uint32_t i, w;
 
-	for (w = 0; w < G_N_ELEMENTS(ways); w++) {
+	for (w = 0; w < G_N_ELEMENTS(policies); w++) {
 		struct chooser c;
 		uint32_t n = 0;
 
-		chooser_init(&c, ways[w], 7);
+		chooser_init(&c, policies[w], 7);
 		chooser_sent(&c, 1, 1000);
 		chooser_answered(&c, 1, 100, 8, 12, 1000);
 		chooser_sent(&c, 2, 1000);
@@ -383,18 +388,17 @@
 {
 	g_test_init(&argc, &argv, NULL);
 	g_test_add_func("/route/budget", test_budget_bounds_retries);
-	g_test_add_func("/route/turned-away", test_turned_away_spends_budget);
+	g_test_add_func("/route/turned-away", test_misdirected_spends_budget);
 	g_test_add_func("/plan/table", test_attempt_table);
 	g_test_add_func("/plan/outcome", test_outcome_follows_from_attempts);
-	g_test_add_func("/plan/unsent-booking", test_unsent_booking_goes_on);
+	g_test_add_func("/plan/unsent-booking", test_unsent_attempt_is_retried);
 	g_test_add_func("/plan/causes", test_causes);
 	g_test_add_func("/plan/tries", test_tries_are_bounded);
 	g_test_add_func("/route/stalled", test_stalled_gate_is_avoided);
 	g_test_add_func("/route/no-herd", test_no_herd);
 	g_test_add_func("/route/except", test_except);
-	g_test_add_func("/route/unknown", test_unknown_is_not_quick);
+	g_test_add_func("/route/unknown", test_unknown_gate_gets_few);
 	g_test_add_func("/route/near-until-full", test_near_until_full);
-	g_test_add_func("/choose/stopping-gate",
-			test_stopping_gate_is_left_alone);
+	g_test_add_func("/choose/stopping-gate", test_stopping_gate_is_avoided);
 	return g_test_run();
 }
--- a/t/test-schedules.c
+++ b/t/test-schedules.c
@@ -11,7 +11,7 @@
  * that a rule holds, and most that it is needed.
  */
 
-static void start_quietly(struct sim *s, uint32_t seed, uint32_t rules)
+static void start_settled(struct sim *s, uint32_t seed, uint32_t rules)
 {
 	sim_init(s, seed, rules);
 	s->verbose = g_getenv("VERBOSE") != NULL;
@@ -20,7 +20,7 @@
 	g_assert_cmpuint(sim_unserved(s), ==, 0);
 }
 
-static bool inherits_more(const struct fleet_service *sv, uint32_t shard)
+static bool has_common_successor(const struct fleet_service *sv, uint32_t shard)
 {
 	uint32_t i;
 
@@ -32,17 +32,17 @@
 	return false;
 }
 
-static uint32_t shard_with_common_heir(const struct fleet_service *sv)
+static uint32_t shard_with_common_successor(const struct fleet_service *sv)
 {
 	uint32_t i;
 
 	for (i = 0; i < sv->n_shards; i++)
-		if (inherits_more(sv, i))
+		if (has_common_successor(sv, i))
 			return i;
 	return 0;
 }
 
-static void put_behind(struct sim *s, int64_t process)
+static void delay_records(struct sim *s, int64_t process)
 {
 	int slot = sim_slot_of_process(s, process);
 
@@ -54,7 +54,7 @@
  * A move that neither the old successor nor the owner's witnesses hear of,
  * while the owner and the new owner do; then the owner dies.
  */
-static uint64_t unheard_move(uint32_t seed, uint32_t rules)
+static uint64_t unread_move(uint32_t seed, uint32_t rules)
 {
 	struct fleet_service *sv;
 	struct sim s;
@@ -64,9 +64,9 @@
 	uint32_t i, j;
 	json_t *r;
 
-	start_quietly(&s, seed, rules);
+	start_settled(&s, seed, rules);
 	sv = fleet_service(sim_newest(&s), "records");
-	i = shard_with_common_heir(sv);
+	i = shard_with_common_successor(sv);
 	a = sv->shards[i].owner;
 	b = sv->shards[i].successor;
 	m = fleet_member(sim_newest(&s), a);
@@ -78,7 +78,7 @@
 			c = id;
 	}
 	for (j = 0; j < m->witnesses.n; j++)
-		put_behind(&s, m->witnesses.id[j]);
+		delay_records(&s, m->witnesses.id[j]);
 	s.nodes[sim_slot(&s, b)].behind_until = s.now + 20000;
 	r = record_move("records", 0, "test");
 	record_move_add(r, i, c, b, sv->shards[i].fence);
@@ -100,23 +100,24 @@
  * Their promises then let the old successor, which has not heard either, serve
  * a key that the new owner serves.
  */
-static void test_unheard_move(void)
+static void test_unread_move(void)
 {
-	uint64_t without = 0;
+	uint64_t breaches_without_rule = 0;
 	uint32_t seed;
 
 	for (seed = 1; seed <= 20; seed++) {
-		g_assert_cmpuint(unheard_move(seed, 0), ==, 0);
-		without += unheard_move(seed, RULE_WITNESSES_KNOW_MOVE);
+		g_assert_cmpuint(unread_move(seed, 0), ==, 0);
+		breaches_without_rule +=
+			unread_move(seed, RULE_WITNESSES_KNOW_MOVE);
 	}
-	g_assert_cmpuint(without, >, 0);
+	g_assert_cmpuint(breaches_without_rule, >, 0);
 }
 
 /*
  * A record that names another heir and leaves the owner, which neither the heir
  * before nor the owner's witnesses hear of; then the owner dies.
  */
-static uint64_t unheard_heir(uint32_t seed, uint32_t rules)
+static uint64_t unread_successor(uint32_t seed, uint32_t rules)
 {
 	struct fleet_service *sv;
 	struct sim s;
@@ -126,7 +127,7 @@
 	uint32_t j;
 	json_t *r;
 
-	start_quietly(&s, seed, rules);
+	start_settled(&s, seed, rules);
 	sv = fleet_service(sim_newest(&s), "records");
 	a = sv->shards[0].owner;
 	b = sv->shards[0].successor;
@@ -136,7 +137,7 @@
 		    s.nodes[j].member.self_id != b)
 			c = s.nodes[j].member.self_id;
 	for (j = 0; j < m->witnesses.n; j++)
-		put_behind(&s, m->witnesses.id[j]);
+		delay_records(&s, m->witnesses.id[j]);
 	s.nodes[sim_slot(&s, b)].behind_until = s.now + 20000;
 	r = record_move("records", 0, "test");
 	record_move_add(r, 0, a, c, sv->shards[0].fence);
@@ -157,16 +158,17 @@
  * a backend server that checks fences would take late work of the dead owner
  * for newer than its own.
  */
-static void test_unheard_heir(void)
+static void test_unread_successor(void)
 {
-	uint64_t without = 0;
+	uint64_t breaches_without_rule = 0;
 	uint32_t seed;
 
 	for (seed = 1; seed <= 10; seed++) {
-		g_assert_cmpuint(unheard_heir(seed, 0), ==, 0);
-		without += unheard_heir(seed, RULE_WITNESSES_KNOW_FENCE);
+		g_assert_cmpuint(unread_successor(seed, 0), ==, 0);
+		breaches_without_rule +=
+			unread_successor(seed, RULE_WITNESSES_KNOW_FENCE);
 	}
-	g_assert_cmpuint(without, >, 0);
+	g_assert_cmpuint(breaches_without_rule, >, 0);
 }
 
 static uint64_t stale_successor(uint32_t seed, uint32_t rules)
@@ -179,9 +181,9 @@
 	json_t *r;
 	int slot;
 
-	start_quietly(&s, seed, rules);
+	start_settled(&s, seed, rules);
 	sv = fleet_service(sim_newest(&s), "records");
-	i = shard_with_common_heir(sv);
+	i = shard_with_common_successor(sv);
 	a = sv->shards[i].owner;
 	b = sv->shards[i].successor;
 	c = sim_other_member(&s, a, b, 0);
@@ -212,17 +214,18 @@
  */
 static void test_stale_successor(void)
 {
-	uint64_t without = 0;
+	uint64_t breaches_without_rule = 0;
 	uint32_t seed;
 
 	for (seed = 1; seed <= 10; seed++) {
 		g_assert_cmpuint(stale_successor(seed, 0), ==, 0);
-		without += stale_successor(seed, RULE_SUCCESSOR_CATCHES_UP);
+		breaches_without_rule +=
+			stale_successor(seed, RULE_SUCCESSOR_CATCHES_UP);
 	}
-	g_assert_cmpuint(without, >, 0);
+	g_assert_cmpuint(breaches_without_rule, >, 0);
 }
 
-static uint64_t shard_comes_and_goes(uint32_t seed, uint32_t rules)
+static uint64_t shard_moves_repeatedly(uint32_t seed, uint32_t rules)
 {
 	struct fleet_service *sv;
 	struct member_node *na;
@@ -231,7 +234,7 @@
 	uint64_t breaches;
 	json_t *r;
 
-	start_quietly(&s, seed, rules);
+	start_settled(&s, seed, rules);
 	sv = fleet_service(sim_newest(&s), "records");
 	a = sv->shards[0].owner;
 	b = sv->shards[0].successor;
@@ -265,24 +268,25 @@
  * still runs. Told that nobody serves it, the next owner would run a second
  * request beside the slow one.
  */
-static void test_shard_comes_and_goes(void)
+static void test_shard_moves_repeatedly(void)
 {
-	uint64_t without = 0;
+	uint64_t breaches_without_rule = 0;
 	uint32_t seed;
 
 	for (seed = 1; seed <= 10; seed++) {
-		g_assert_cmpuint(shard_comes_and_goes(seed, 0), ==, 0);
-		without += shard_comes_and_goes(seed, RULE_REQUESTS_END_FIRST);
+		g_assert_cmpuint(shard_moves_repeatedly(seed, 0), ==, 0);
+		breaches_without_rule +=
+			shard_moves_repeatedly(seed, RULE_REQUESTS_END_FIRST);
 	}
-	g_assert_cmpuint(without, >, 0);
+	g_assert_cmpuint(breaches_without_rule, >, 0);
 }
 
 /* Runs until the log names b as the owner of shard 0, and b serves it. */
-static void move_and_serve(struct sim *s, int64_t b, int64_t heir)
+static void move_and_serve(struct sim *s, int64_t b, int64_t successor)
 {
 	int64_t end = s->now + 5000;
 
-	sim_append_move(s, 0, b, heir);
+	sim_append_move(s, 0, b, successor);
 	while (s->now < end && sim_server(s, 0) != sim_slot(s, b))
 		sim_step(s);
 	g_assert_cmpint(sim_server(s, 0), ==, sim_slot(s, b));
@@ -290,21 +294,21 @@
 
 /* An owner is named another heir after it took a shard, and before it settled
  * that. */
-static void test_heir_before_settling(void)
+static void test_successor_before_settling(void)
 {
 	uint32_t seed;
 
 	for (seed = 1; seed <= 20; seed++) {
 		const struct shard *sh;
-		int64_t a, heir, b, c;
+		int64_t a, successor, b, c;
 		struct sim s;
 
-		start_quietly(&s, seed, 0);
+		start_settled(&s, seed, 0);
 		sh = fleet_service(sim_newest(&s), "records")->shards;
 		a = sh->owner;
-		heir = sh->successor;
-		b = sim_other_member(&s, a, heir, 0);
-		c = sim_other_member(&s, a, heir, b);
+		successor = sh->successor;
+		b = sim_other_member(&s, a, successor, 0);
+		c = sim_other_member(&s, a, successor, b);
 		s.nodes[sim_slot(&s, b)].log_cut = true;
 		move_and_serve(&s, b, c);
 		sim_configure(
@@ -343,7 +347,7 @@
 	uint32_t i;
 	int a;
 
-	start_quietly(&s, seed, rules);
+	start_settled(&s, seed, rules);
 	a = s.nodes[0].member.self_id ? 0 : 1;
 	id = s.nodes[a].member.self_id;
 	m = *fleet_member(sim_newest(&s), id);
@@ -384,7 +388,7 @@
 }
 
 /* Most of the witnesses that a member changes to end before they have vouched. */
-static void test_new_witnesses_end(void)
+static void test_new_witnesses_killed(void)
 {
 	uint32_t seed;
 
@@ -393,7 +397,7 @@
 		struct sim s;
 		int64_t id, ids[3];
 
-		start_quietly(&s, seed, 0);
+		start_settled(&s, seed, 0);
 		id = s.nodes[0].member.self_id;
 		m = fleet_member(sim_newest(&s), id);
 		other_witnesses(&s, m, ids);
@@ -429,7 +433,7 @@
 		struct member m;
 		struct sim s;
 
-		start_quietly(&s, seed, 0);
+		start_settled(&s, seed, 0);
 		lapses = counters[COUNTER_lease_lapses];
 		m = *fleet_member(sim_newest(&s), s.nodes[0].member.self_id);
 		other_witnesses(&s, &m, ids);
@@ -442,7 +446,7 @@
 	}
 }
 
-static bool settles(struct sim *s, int64_t member)
+static bool last_record_settles(struct sim *s, int64_t member)
 {
 	struct sim_log_record *r = g_ptr_array_index(s->log, s->log->len - 1);
 	json_t *type = json_object_get(r->record, "type");
@@ -465,30 +469,30 @@
 	struct sim s;
 	uint64_t breaches;
 	int64_t old[3];
-	int64_t heir = 0, end;
+	int64_t successor = 0, end;
 	uint32_t i, n = 0;
 
-	start_quietly(&s, seed, rules);
+	start_settled(&s, seed, rules);
 	m = *fleet_member(sim_newest(&s), s.nodes[4].member.self_id);
 	sv = fleet_service(sim_newest(&s), "records");
 	for (i = 0; i < sv->n_shards; i++)
 		if (sv->shards[i].owner == m.id)
-			heir = sv->shards[i].successor;
+			successor = sv->shards[i].successor;
 	for (i = 0; i < 4; i++)
-		if (s.nodes[i].member.self_id != heir && n < 3)
+		if (s.nodes[i].member.self_id != successor && n < 3)
 			old[n++] = process_of(&s, i);
 	set_witnesses(&s, &m, old);
 	m = *fleet_member(sim_newest(&s), m.id);
 	for (i = 0; i < 3; i++)
 		w.id[i] = process_of(&s, 5 + i);
 	sim_append(&s, record_witnesses(m.id, m.witness_offset, &w));
-	for (end = s.now + 5000; s.now < end && !settles(&s, m.id);)
+	for (end = s.now + 5000; s.now < end && !last_record_settles(&s, m.id);)
 		sim_step(&s);
-	g_assert_true(settles(&s, m.id));
+	g_assert_true(last_record_settles(&s, m.id));
 	s.nodes[4].log_cut = true;
 	s.nodes[4].behind_until = s.now + 20000;
 	for (i = 0; i < 3; i++) {
-		put_behind(&s, old[i]);
+		delay_records(&s, old[i]);
 		sim_cut(&s, 4, 5 + i, 20000);
 	}
 	sim_run(&s, 6000);
@@ -505,21 +509,22 @@
  */
 static void test_unread_settle(void)
 {
-	uint64_t without = 0;
+	uint64_t breaches_without_rule = 0;
 	uint32_t seed;
 
 	for (seed = 1; seed <= 10; seed++) {
 		g_assert_cmpuint(unread_settle(seed, 0), ==, 0);
-		without += unread_settle(seed, RULE_NEW_WITNESSES_COUNT);
+		breaches_without_rule +=
+			unread_settle(seed, RULE_NEW_WITNESSES_COUNT);
 	}
-	g_assert_cmpuint(without, >, 0);
+	g_assert_cmpuint(breaches_without_rule, >, 0);
 }
 
 /*
  * A member's witness was the log, which it has just read, and those that follow
  * vouched for it half a second ago. Requests run under the longer lease.
  */
-static void test_settle_keeps_what_was_lent(void)
+static void test_settle_keeps_lease(void)
 {
 	struct witness_set log = { .n = 1, .id = { LOG_WITNESS } };
 	uint32_t seed;
@@ -532,7 +537,7 @@
 		struct sim s;
 		uint32_t seen;
 
-		start_quietly(&s, seed, 0);
+		start_settled(&s, seed, 0);
 		n = &s.nodes[4].member;
 		m = fleet_member(sim_newest(&s), n->self_id);
 		sim_append(&s, record_witnesses(n->self_id, m->witness_offset,
@@ -543,7 +548,8 @@
 			sim_step(&s);
 			m = fleet_member(&n->fleet, n->self_id);
 			g_assert_nonnull(m);
-			if (s.log->len == seen || !settles(&s, m->id) ||
+			if (s.log->len == seen ||
+			    !last_record_settles(&s, m->id) ||
 			    !witness_set_has(&m->old_witnesses, LOG_WITNESS))
 				continue;
 			g_assert_cmpint(member_lease_end_ms(n), >=, longest);
@@ -562,14 +568,15 @@
  */
 static void test_returning_witness(void)
 {
-	uint64_t without = 0;
+	uint64_t breaches_without_rule = 0;
 	uint32_t seed;
 
 	for (seed = 1; seed <= 20; seed++) {
 		g_assert_cmpuint(returning_witness(seed, 0), ==, 0);
-		without += returning_witness(seed, RULE_PROMISE_PERSISTS);
+		breaches_without_rule +=
+			returning_witness(seed, RULE_PROMISE_PERSISTS);
 	}
-	g_assert_cmpuint(without, >, 0);
+	g_assert_cmpuint(breaches_without_rule, >, 0);
 }
 
 /*
@@ -577,7 +584,7 @@
  * once a second for something to do, must not make it wait its turn: the giving
  * was let through once in twenty tries, and the server stayed full.
  */
-static void test_gives_at_once(void)
+static void test_move_is_not_delayed(void)
 {
 	GArray *shards = g_array_new(FALSE, FALSE, sizeof(uint32_t));
 	struct sim s;
@@ -586,7 +593,7 @@
 	uint32_t shard = 0;
 	int slot;
 
-	start_quietly(&s, 3, 0);
+	start_settled(&s, 3, 0);
 	slot = sim_server(&s, shard);
 	n = &s.nodes[slot].member;
 	to = s.nodes[(slot + 1) % 5].member.self_id;
@@ -605,7 +612,7 @@
  * first change that is not in force, not from each new one: it would wait as
  * long as they go on, and callers be served by a configuration long replaced.
  */
-static void test_published_in_a_storm(void)
+static void test_published_in_quick_succession(void)
 {
 	struct sim s;
 	struct fleet *f;
@@ -613,7 +620,7 @@
 	int64_t source;
 	uint32_t i, rank;
 
-	start_quietly(&s, 5, 0);
+	start_settled(&s, 5, 0);
 	f = sim_newest(&s);
 	doc = json_deep_copy(f->document);
 	json_object_set_new(doc, "source", json_integer(1));
@@ -637,7 +644,7 @@
 }
 
 /* What is in force and n routes more, as operators' version n. */
-static json_t *more_routes(const struct fleet *f, int version, uint32_t n)
+static json_t *with_more_routes(const struct fleet *f, int version, uint32_t n)
 {
 	json_t *doc = json_deep_copy(f->document);
 	json_t *classes = json_object_get(doc, "classes");
@@ -667,17 +674,17 @@
  * Who proposes part of a change dies, and the next in turn has read less of
  * what operators published: the part that is in force must not go back.
  */
-static void test_part_is_not_reverted(void)
+static void test_partial_change_is_not_reverted(void)
 {
 	struct sim s;
 	json_t *older, *newer;
 	struct fleet *f;
 	uint32_t n;
 
-	start_quietly(&s, 5, 0);
+	start_settled(&s, 5, 0);
 	f = sim_newest(&s);
-	older = more_routes(f, 1, 0);
-	newer = more_routes(f, 2, 4000);
+	older = with_more_routes(f, 1, 0);
+	newer = with_more_routes(f, 2, 4000);
 	publish(&s, 1, 11, newer);
 	member_tick(&s.nodes[1].member, sim_local(&s.nodes[1]));
 	sim_kill(&s, 1);
@@ -697,14 +704,14 @@
  * Who proposes part of a change dies, and had read a record more that changes
  * nothing: the others have all that matters, and the rest must follow.
  */
-static void test_part_is_finished_by_others(void)
+static void test_partial_change_is_completed(void)
 {
 	struct sim s;
 	json_t *newer;
 	uint32_t i;
 
-	start_quietly(&s, 5, 0);
-	newer = more_routes(sim_newest(&s), 2, 4000);
+	start_settled(&s, 5, 0);
+	newer = with_more_routes(sim_newest(&s), 2, 4000);
 	publish(&s, 1, 11, newer);
 	member_tick(&s.nodes[1].member, sim_local(&s.nodes[1]));
 	sim_kill(&s, 1);
@@ -718,23 +725,23 @@
 }
 
 /* A writer may read its record before it has the answer to its append. */
-static void test_next_part_does_not_wait(void)
+static void test_next_part_is_not_delayed(void)
 {
 	struct sim s;
 	struct member_node *n;
 	struct fleet *f;
 	json_t *changes, *doc;
 	json_t *r;
-	bool whole;
+	bool complete;
 
-	start_quietly(&s, 5, 0);
+	start_settled(&s, 5, 0);
 	n = &s.nodes[1].member;
 	f = &n->fleet;
-	doc = more_routes(f, 2, 4000);
+	doc = with_more_routes(f, 2, 4000);
 	publish(&s, 1, 11, doc);
-	changes = changes_between(f->document, doc, 192 * 1024, &whole);
-	g_assert_false(whole);
-	r = record_changes(f->configuration_version, changes, 11, whole,
+	changes = changes_between(f->document, doc, 192 * 1024, &complete);
+	g_assert_false(complete);
+	r = record_changes(f->configuration_version, changes, 11, complete,
 			   n->self_id);
 	n->append_pending[APPEND_PUBLISHED] = true;
 	member_on_record(n, f->applied + 1, "1-x", r, n->now_ms);
@@ -762,7 +769,7 @@
 		int64_t id;
 		int slot;
 
-		start_quietly(&s, seed, 0);
+		start_settled(&s, seed, 0);
 		slot = sim_server(&s, 0);
 		id = s.nodes[slot].member.self_id;
 		m = fleet_member(sim_newest(&s), id);
@@ -780,29 +787,30 @@
 {
 	g_test_init(&argc, &argv, NULL);
 	g_test_add_func("/schedule/published-in-a-storm",
-			test_published_in_a_storm);
+			test_published_in_quick_succession);
 	g_test_add_func("/schedule/part-is-not-reverted",
-			test_part_is_not_reverted);
+			test_partial_change_is_not_reverted);
 	g_test_add_func("/schedule/part-is-finished-by-others",
-			test_part_is_finished_by_others);
+			test_partial_change_is_completed);
 	g_test_add_func("/schedule/next-part-does-not-wait",
-			test_next_part_does_not_wait);
-	g_test_add_func("/schedule/gives-at-once", test_gives_at_once);
+			test_next_part_is_not_delayed);
+	g_test_add_func("/schedule/gives-at-once", test_move_is_not_delayed);
 	g_test_add_func("/schedule/stale-successor", test_stale_successor);
 	g_test_add_func("/schedule/shard-comes-and-goes",
-			test_shard_comes_and_goes);
-	g_test_add_func("/schedule/unheard-move", test_unheard_move);
+			test_shard_moves_repeatedly);
+	g_test_add_func("/schedule/unheard-move", test_unread_move);
 	g_test_add_func("/schedule/new-witnesses-keep-lease",
 			test_new_witnesses_keep_lease);
 	g_test_add_func("/schedule/unread-settle", test_unread_settle);
 	g_test_add_func("/schedule/settle-keeps-what-was-lent",
-			test_settle_keeps_what_was_lent);
-	g_test_add_func("/schedule/unheard-heir", test_unheard_heir);
+			test_settle_keeps_lease);
+	g_test_add_func("/schedule/unheard-heir", test_unread_successor);
 	g_test_add_func("/schedule/unread-change-to-the-log",
 			test_unread_change_to_the_log);
-	g_test_add_func("/schedule/new-witnesses-end", test_new_witnesses_end);
+	g_test_add_func("/schedule/new-witnesses-end",
+			test_new_witnesses_killed);
 	g_test_add_func("/schedule/heir-before-settling",
-			test_heir_before_settling);
+			test_successor_before_settling);
 	g_test_add_func("/schedule/returning-witness", test_returning_witness);
 	return g_test_run();
 }
--- a/t/test-settings.c
+++ b/t/test-settings.c
@@ -6,7 +6,7 @@
 #include "settings/settings.h"
 #include "util/result.h"
 
-static uint32_t problems(const char *text, const char *expected)
+static uint32_t count_problems(const char *text, const char *expected)
 {
 	struct configuration *cfg = g_new0(struct configuration, 1);
 	json_t *doc = json_loads(text, 0, NULL);
@@ -25,21 +25,22 @@
 	return n;
 }
 
-static void test_problems_are_named(void)
+static void test_problems_are_reported(void)
 {
-	problems("{\"services\":[],\"classes\":[],\"data_centres\":[],\"x\":1}",
-		 "f: $.x: no such field");
-	problems("{\"services\":[{\"name\":\"a\",\"shards\":0}],"
-		 "\"classes\":[],\"data_centres\":[]}",
-		 "f: services[0].shards: must be from 1 to 16384");
-	problems("{\"services\":[],\"classes\":[{\"name\":\"k\","
-		 "\"service\":\"none\",\"method\":\"GET\",\"path\":\"/\","
-		 "\"target_ms\":5}],\"data_centres\":[]}",
-		 "service none does not exist");
-	g_assert_cmpuint(problems("[]", "must be an object"), ==, 1);
+	count_problems(
+		"{\"services\":[],\"classes\":[],\"data_centres\":[],\"x\":1}",
+		"f: $.x: no such field");
+	count_problems("{\"services\":[{\"name\":\"a\",\"shards\":0}],"
+		       "\"classes\":[],\"data_centres\":[]}",
+		       "f: services[0].shards: must be from 1 to 16384");
+	count_problems("{\"services\":[],\"classes\":[{\"name\":\"k\","
+		       "\"service\":\"none\",\"method\":\"GET\",\"path\":\"/\","
+		       "\"target_ms\":5}],\"data_centres\":[]}",
+		       "service none does not exist");
+	g_assert_cmpuint(count_problems("[]", "must be an object"), ==, 1);
 }
 
-static struct configuration *read_good(const char *text)
+static struct configuration *read_valid(const char *text)
 {
 	struct configuration *cfg = g_new0(struct configuration, 1);
 	json_t *doc = json_loads(text, 0, NULL);
@@ -53,7 +54,7 @@
 	return cfg;
 }
 
-static void drop(struct configuration *cfg)
+static void free_configuration(struct configuration *cfg)
 {
 	configuration_finish(cfg);
 	g_free(cfg);
@@ -76,14 +77,14 @@
 
 static void test_longest_match(void)
 {
-	struct configuration *cfg = read_good(DOCUMENT(
+	struct configuration *cfg = read_valid(DOCUMENT(
 		CLASS("a", "\"method\":\"GET\",\"path\":\"/a\"") "," CLASS(
 			"ab", "\"method\":\"GET\",\"path\":\"/a/b\"")));
 
 	g_assert_cmpstr(match(cfg, "GET", NULL, "/a/b/c"), ==, "ab");
 	g_assert_cmpstr(match(cfg, "GET", NULL, "/a/c"), ==, "a");
 	g_assert_cmpstr(match(cfg, "POST", NULL, "/a/c"), ==, "none");
-	drop(cfg);
+	free_configuration(cfg);
 }
 
 /*
@@ -92,7 +93,7 @@
  */
 static void test_match_by_host(void)
 {
-	struct configuration *cfg = read_good(DOCUMENT(CLASS(
+	struct configuration *cfg = read_valid(DOCUMENT(CLASS(
 		"x",
 		"\"method\":\"*\",\"host\":\"x.example\","
 		"\"path\":\"/p/\"") "," CLASS("y", "\"method\":\"*\",\"host\":"
@@ -103,12 +104,12 @@
 	g_assert_cmpstr(match(cfg, "POST", "x.example:80", "/p/1"), ==, "x");
 	g_assert_cmpstr(match(cfg, "GET", "x.example.org", "/p/"), ==, "none");
 	g_assert_cmpstr(match(cfg, "GET", NULL, "/p/"), ==, "none");
-	drop(cfg);
+	free_configuration(cfg);
 }
 
 static void test_split(void)
 {
-	struct configuration *cfg = read_good(
+	struct configuration *cfg = read_valid(
 		"{\"services\":[{\"name\":\"s\"},{\"name\":\"t\"}],"
 		"\"classes\":[{\"name\":\"k\",\"split\":["
 		"{\"service\":\"t\",\"weight\":90},"
@@ -118,19 +119,20 @@
 	g_assert_cmpuint(cfg->classes[0].n_targets, ==, 2);
 	g_assert_cmpuint(cfg->classes[0].targets[0].service, ==, 1);
 	g_assert_cmpuint(cfg->classes[0].targets[1].weight, ==, 10);
-	drop(cfg);
-	problems("{\"services\":[{\"name\":\"s\"}],\"classes\":[{\"name\":"
-		 "\"k\",\"split\":[{\"service\":\"s\",\"weight\":0}],"
-		 "\"method\":\"GET\",\"path\":\"/\",\"target_ms\":5}],"
-		 "\"data_centres\":[]}",
-		 "no part of the split has a weight");
+	free_configuration(cfg);
+	count_problems(
+		"{\"services\":[{\"name\":\"s\"}],\"classes\":[{\"name\":"
+		"\"k\",\"split\":[{\"service\":\"s\",\"weight\":0}],"
+		"\"method\":\"GET\",\"path\":\"/\",\"target_ms\":5}],"
+		"\"data_centres\":[]}",
+		"no part of the split has a weight");
 }
 
 /*
  * A setting that is allowed by name but never read does nothing, and nobody is
  * told. Each one given here must arrive.
  */
-static void test_settings_arrive(void)
+static void test_settings_are_read(void)
 {
 	static const char text[] =
 		"{\"interface\":\"platform\",\"host\":\"h\","
@@ -180,10 +182,10 @@
 int main(int argc, char **argv)
 {
 	g_test_init(&argc, &argv, NULL);
-	g_test_add_func("/settings/problems", test_problems_are_named);
+	g_test_add_func("/settings/problems", test_problems_are_reported);
 	g_test_add_func("/settings/longest-match", test_longest_match);
 	g_test_add_func("/settings/match-by-host", test_match_by_host);
 	g_test_add_func("/settings/split", test_split);
-	g_test_add_func("/settings/arrive", test_settings_arrive);
+	g_test_add_func("/settings/arrive", test_settings_are_read);
 	return g_test_run();
 }
--- a/t/test-start.c
+++ b/t/test-start.c
@@ -5,7 +5,7 @@
 /* What a process may take for level with the fleet when it has just started. */
 
 /* Apply the first records of the log to a node that cannot read it. */
-static void apply_first(struct sim *s, uint32_t slot, uint32_t count)
+static void apply_first_records(struct sim *s, uint32_t slot, uint32_t count)
 {
 	struct sim_node *nd = &s->nodes[slot];
 	uint32_t i;
@@ -19,7 +19,7 @@
 }
 
 /* The process of slot asks the one of peer for all that it has. */
-static void ask_peer(struct sim *s, uint32_t slot, uint32_t peer)
+static void request_records(struct sim *s, uint32_t slot, uint32_t peer)
 {
 	struct sim_node *nd = &s->nodes[peer];
 	struct member_msg msg;
@@ -36,7 +36,7 @@
 }
 
 /* A process that is level with one in the middle of its log is not current. */
-static void test_peer_not_level(void)
+static void test_peer_not_caught_up(void)
 {
 	struct sim s;
 	int64_t end;
@@ -50,8 +50,8 @@
 		sim_start(&s, i);
 		s.nodes[i].log_cut = true;
 	}
-	apply_first(&s, 0, s.log->len / 2);
-	ask_peer(&s, 1, 0);
+	apply_first_records(&s, 0, s.log->len / 2);
+	request_records(&s, 1, 0);
 	g_assert_cmpint(s.nodes[1].member.fleet.applied, ==,
 			s.log->len / 2 - 1);
 	g_assert_false(member_is_current(&s.nodes[1].member));
@@ -59,14 +59,14 @@
 	sim_run(&s, 100);
 	end = s.log->len - 1;
 	g_assert_cmpint(s.nodes[0].member.fleet.applied, ==, end);
-	ask_peer(&s, 1, 0);
+	request_records(&s, 1, 0);
 	g_assert_cmpint(s.nodes[1].member.fleet.applied, >=, end);
 	g_assert_true(member_is_current(&s.nodes[1].member));
 	sim_finish(&s);
 }
 
 /* A process that has nothing is handed the state, not each record since then. */
-static void test_all_as_state(void)
+static void test_state_sent_as_snapshot(void)
 {
 	struct sim s;
 
@@ -76,7 +76,7 @@
 	sim_kill(&s, 1);
 	sim_start(&s, 1);
 	s.nodes[1].log_cut = true;
-	ask_peer(&s, 1, 0);
+	request_records(&s, 1, 0);
 	g_assert_cmpint(s.nodes[1].member.fleet.applied, ==, s.log->len - 1);
 	g_assert_true(member_is_current(&s.nodes[1].member));
 	g_assert_cmpuint(s.nodes[1].member.cache->length, <, 5);
@@ -150,17 +150,17 @@
 }
 
 /* Records after which the newest snapshot would be overwritten in the store. */
-#define RING 256
+#define LOG_CAPACITY 256
 
 /*
  * Who would write the snapshot cannot reach the log, and records go on: another
  * must write it before the one that there is has been overwritten.
  */
-static void test_next_writes_snapshot(void)
+static void test_next_node_writes_snapshot(void)
 {
 	struct sim s;
 	uint32_t i;
-	int64_t most = 0;
+	int64_t max_records = 0;
 
 	sim_init_granted(&s, 11, 0);
 	g_assert_true(sim_converge(&s, 20000));
@@ -168,16 +168,16 @@
 		if (!assign_rank(&s.nodes[i].member.fleet, "snapshot",
 				 s.nodes[i].member.self_id))
 			s.nodes[i].log_cut = true;
-	for (i = 0; i < 2 * RING; i++) {
+	for (i = 0; i < 2 * LOG_CAPACITY; i++) {
 		const struct fleet *f = sim_newest(&s);
 
 		sim_configure(&s, NULL);
 		sim_run(&s, 100);
-		most = MAX(most, f->applied - f->snapshot_offset);
+		max_records = MAX(max_records, f->applied - f->snapshot_offset);
 	}
 	g_test_message("%" G_GINT64_FORMAT " records since a snapshot",
-		       (gint64)most);
-	g_assert_cmpint(most, <, RING);
+		       (gint64)max_records);
+	g_assert_cmpint(max_records, <, LOG_CAPACITY);
 	sim_finish(&s);
 }
 
@@ -191,7 +191,7 @@
 
 	sim_init_granted(&s, 13, 0);
 	g_assert_true(sim_converge(&s, 20000));
-	for (i = 0; i < RING; i++)
+	for (i = 0; i < LOG_CAPACITY; i++)
 		sim_configure(&s, NULL);
 	sim_run(&s, 5000);
 	state = fleet_snapshot(sim_newest(&s));
@@ -202,20 +202,20 @@
 			==, RESULT_OK);
 	json_decref(state);
 	f = &s.nodes[1].member.fleet;
-	g_assert_cmpint(f->applied, >, RING);
+	g_assert_cmpint(f->applied, >, LOG_CAPACITY);
 	g_assert_cmpint(f->applied - f->snapshot_upto, <, 60);
 	/* Nor one that it hears of from a peer. */
 	sim_kill(&s, 1);
 	sim_start(&s, 1);
 	s.nodes[1].log_cut = true;
-	ask_peer(&s, 1, 0);
-	g_assert_cmpint(f->applied, >, RING);
+	request_records(&s, 1, 0);
+	g_assert_cmpint(f->applied, >, LOG_CAPACITY);
 	g_assert_cmpint(f->applied - f->snapshot_upto, <, 120);
 	sim_finish(&s);
 }
 
 /* Eighty processes that start at once and retry at once leave no one room. */
-static void test_conflicts_wait_longer(void)
+static void test_conflicts_back_off(void)
 {
 	struct member_node *n;
 	int64_t longest = 0;
@@ -238,7 +238,7 @@
 }
 
 /* While others append, a long part that must come at the end is sent seldom. */
-static void test_snapshot_waits_for_quiet(void)
+static void test_snapshot_backs_off(void)
 {
 	struct member_node *n;
 	int64_t waited = 0;
@@ -258,7 +258,7 @@
 }
 
 /* After the store was away all append at once, and a configuration is urgent. */
-static void test_published_goes_at_once(void)
+static void test_published_is_retried_at_once(void)
 {
 	struct member_node *n;
 	struct sim s;
@@ -279,7 +279,7 @@
 }
 
 /* Who is level needs no snapshot, and would have to read it for being long. */
-static void test_snapshot_is_not_passed_on(void)
+static void test_snapshot_is_not_relayed(void)
 {
 	const struct cached_record *c;
 	struct member_node *n;
@@ -305,7 +305,7 @@
 }
 
 /* A long configuration is passed on as well, or each host reads it itself. */
-static void test_long_record_is_passed_on(void)
+static void test_long_record_is_relayed(void)
 {
 	GString *text = g_string_new(NULL);
 	struct sim s;
@@ -370,26 +370,26 @@
 int main(int argc, char **argv)
 {
 	g_test_init(&argc, &argv, NULL);
-	g_test_add_func("/start/peer-not-level", test_peer_not_level);
-	g_test_add_func("/start/all-as-state", test_all_as_state);
+	g_test_add_func("/start/peer-not-level", test_peer_not_caught_up);
+	g_test_add_func("/start/all-as-state", test_state_sent_as_snapshot);
 	g_test_add_func("/start/snapshot-after-conflict",
 			test_snapshot_after_conflict);
 	g_test_add_func("/start/one-snapshot-at-a-time",
 			test_one_snapshot_at_a_time);
 	g_test_add_func("/start/next-writes-snapshot",
-			test_next_writes_snapshot);
+			test_next_node_writes_snapshot);
 	g_test_add_func("/start/loaded-snapshot-counts",
 			test_loaded_snapshot_counts);
 	g_test_add_func("/start/conflicts-wait-longer",
-			test_conflicts_wait_longer);
+			test_conflicts_back_off);
 	g_test_add_func("/start/snapshot-waits-for-quiet",
-			test_snapshot_waits_for_quiet);
+			test_snapshot_backs_off);
 	g_test_add_func("/start/published-goes-at-once",
-			test_published_goes_at_once);
+			test_published_is_retried_at_once);
 	g_test_add_func("/start/snapshot-is-not-passed-on",
-			test_snapshot_is_not_passed_on);
+			test_snapshot_is_not_relayed);
 	g_test_add_func("/start/long-record-is-passed-on",
-			test_long_record_is_passed_on);
+			test_long_record_is_relayed);
 	g_test_add_func("/start/few-read-operators", test_few_read_operators);
 	return g_test_run();
 }
--- a/t/test-state.c
+++ b/t/test-state.c
@@ -6,7 +6,7 @@
 #include "state/scan.h"
 #include "util/result.h"
 
-static int64_t applied_next;
+static int64_t next_offset;
 
 static void join(struct fleet *f, const char *host, const char *dc,
 		 const char *boot)
@@ -23,7 +23,7 @@
 	m.witnesses.n = 1;
 	m.witnesses.id[0] = LOG_WITNESS;
 	r = record_join(&m);
-	g_assert_cmpint(fleet_apply(f, applied_next++, "", r), ==, RESULT_OK);
+	g_assert_cmpint(fleet_apply(f, next_offset++, "", r), ==, RESULT_OK);
 	json_decref(r);
 }
 
@@ -39,7 +39,7 @@
 {
 	json_t *doc = document(hakata_in);
 	json_t *r = record_configuration(base, doc, "operator", "test");
-	int err = fleet_apply(f, applied_next++, "", r);
+	int err = fleet_apply(f, next_offset++, "", r);
 
 	json_decref(r);
 	json_decref(doc);
@@ -48,7 +48,7 @@
 
 static void set_up(struct fleet *f)
 {
-	applied_next = 0;
+	next_offset = 0;
 	fleet_init(f);
 	g_assert_cmpint(configure(f, -1, true), ==, RESULT_OK);
 	join(f, "a", "hakata", "b1");
@@ -56,7 +56,7 @@
 	join(f, "c", "kurume", "b3");
 }
 
-static uint32_t owned(struct fleet *f, int64_t id)
+static uint32_t count_owned(struct fleet *f, int64_t id)
 {
 	uint32_t n = 0;
 	uint32_t i;
@@ -71,7 +71,7 @@
 	struct fleet f;
 
 	set_up(&f);
-	g_assert_cmpuint(owned(&f, 2), ==, 8);
+	g_assert_cmpuint(count_owned(&f, 2), ==, 8);
 	g_assert_cmpint(f.services[0].shards[0].successor, !=, 0);
 	fleet_finish(&f);
 }
@@ -96,7 +96,7 @@
  * An answer of the log is lost after the write, and the writer appends again.
  * Applied twice, the join would throw out the member that it made.
  */
-static void test_second_copy_is_ignored(void)
+static void test_duplicate_append_is_ignored(void)
 {
 	json_t *r = json_pack("{s:s,s:s,s:s,s:s,s:s,s:s,s:[i]}", "type", "join",
 			      "host", "d", "peer", "d", "service", "records",
@@ -118,19 +118,20 @@
  */
 static void test_successor_inherits(void)
 {
-	int64_t heirs[8];
+	int64_t successors[8];
 	struct fleet f;
 	json_t *r;
 	uint32_t i;
 
 	set_up(&f);
 	for (i = 0; i < 8; i++)
-		heirs[i] = f.services[0].shards[i].successor;
+		successors[i] = f.services[0].shards[i].successor;
 	r = record_expel(3, "lease lapsed");
 	record_expel_add(r, fleet_member(&f, 2));
 	g_assert_cmpint(fleet_apply(&f, 4, "", r), ==, RESULT_OK);
 	for (i = 0; i < 8; i++) {
-		g_assert_cmpint(f.services[0].shards[i].owner, ==, heirs[i]);
+		g_assert_cmpint(f.services[0].shards[i].owner, ==,
+				successors[i]);
 		g_assert_cmpint(f.services[0].shards[i].fence, ==, 4);
 	}
 	json_decref(r);
@@ -147,7 +148,7 @@
 
 	set_up(&f);
 	g_assert_cmpint(configure(&f, 0, false), ==, RESULT_OK);
-	g_assert_cmpuint(owned(&f, 2), ==, 0);
+	g_assert_cmpuint(count_owned(&f, 2), ==, 0);
 	g_assert_cmpint(f.services[0].shards[0].prev_owner, ==, 2);
 	fleet_finish(&f);
 }
@@ -170,9 +171,9 @@
 				f.services[0].shards[i].fence);
 	g_assert_cmpint(fleet_apply(&f, 4, "", r), ==, RESULT_OK);
 	json_decref(r);
-	applied_next = 5;
+	next_offset = 5;
 	g_assert_cmpint(configure(&f, 0, false), ==, RESULT_OK);
-	g_assert_cmpuint(owned(&f, 2), ==, 0);
+	g_assert_cmpuint(count_owned(&f, 2), ==, 0);
 	for (i = 0; i < 8; i += 2) {
 		g_assert_cmpint(f.services[0].shards[i].prev_owner, ==, 2);
 		g_assert_cmpint(f.services[0].shards[i].older_owner, ==, 2);
@@ -211,7 +212,7 @@
 }
 
 /* Nodes that start from a snapshot must agree with those that did not. */
-static void test_snapshot_is_whole(void)
+static void test_snapshot_is_complete(void)
 {
 	struct fleet f, g;
 	json_t *a, *b;
@@ -233,7 +234,7 @@
 }
 
 /* A record that is no use to anybody must not end the process. */
-static void test_broken_records(void)
+static void test_malformed_records(void)
 {
 	static const char *const texts[] = {
 		"{}",
@@ -255,7 +256,7 @@
 	for (i = 0; i < G_N_ELEMENTS(texts); i++) {
 		json_t *r = json_loads(texts[i], 0, NULL);
 
-		fleet_apply(&f, applied_next++, "", r);
+		fleet_apply(&f, next_offset++, "", r);
 		json_decref(r);
 	}
 	g_assert_cmpuint(fleet_n_members(&f), ==, 3);
@@ -302,7 +303,7 @@
 }
 
 /* Runs of neighbouring shards with one owner: a row each for its server. */
-static uint32_t rows(struct fleet *f)
+static uint32_t count_rows(struct fleet *f)
 {
 	const struct fleet_service *s = &f->services[0];
 	uint32_t n = 0;
@@ -318,7 +319,7 @@
 	json_t *r = record_expel(0, "test");
 
 	record_expel_add(r, fleet_member(f, id));
-	g_assert_cmpint(fleet_apply(f, applied_next++, "", r), ==, RESULT_OK);
+	g_assert_cmpint(fleet_apply(f, next_offset++, "", r), ==, RESULT_OK);
 	json_decref(r);
 }
 
@@ -338,9 +339,9 @@
 	json_t *r = record_configuration(-1, doc, "operator", "test");
 	struct fleet f;
 
-	applied_next = 0;
+	next_offset = 0;
 	fleet_init(&f);
-	g_assert_cmpint(fleet_apply(&f, applied_next++, "", r), ==, RESULT_OK);
+	g_assert_cmpint(fleet_apply(&f, next_offset++, "", r), ==, RESULT_OK);
 	json_decref(r);
 	json_decref(doc);
 	join(&f, "a", "hakata", "b1");
@@ -348,12 +349,12 @@
 	join(&f, "c", "kurume", "b3");
 	join(&f, "d", "kitakyu", "b4");
 	r = record_place("records", 2);
-	g_assert_cmpint(fleet_apply(&f, applied_next++, "", r), ==, RESULT_OK);
+	g_assert_cmpint(fleet_apply(&f, next_offset++, "", r), ==, RESULT_OK);
 	json_decref(r);
 	expel(&f, 3);
 	expel(&f, 4);
-	g_test_message("%u rows", rows(&f));
-	g_assert_cmpuint(rows(&f), <=, 128);
+	g_test_message("%u rows", count_rows(&f));
+	g_assert_cmpuint(count_rows(&f), <=, 128);
 	fleet_finish(&f);
 }
 
@@ -368,7 +369,7 @@
 	set_up(&f);
 	r = record_changes(f.configuration_version, changes, 7, true, 1);
 	g_assert_cmpint(f.source_offset, <, 7);
-	g_assert_cmpint(fleet_apply(&f, applied_next++, "", r), ==,
+	g_assert_cmpint(fleet_apply(&f, next_offset++, "", r), ==,
 			RESULT_INVALID);
 	g_assert_cmpint(f.source_offset, ==, 7);
 	g_assert_nonnull(f.document);
@@ -378,9 +379,10 @@
 }
 
 static void scan_snapshot(struct log_scan *s, int64_t offset, int64_t upto,
-			  const char *text, bool whole)
+			  const char *text, bool complete)
 {
-	json_t *r = record_snapshot(upto, 0, whole ? 1 : 2, text, strlen(text));
+	json_t *r =
+		record_snapshot(upto, 0, complete ? 1 : 2, text, strlen(text));
 
 	log_scan_add(s, offset, "", r);
 	json_decref(r);
@@ -424,7 +426,7 @@
 	g_test_init(&argc, &argv, NULL);
 	g_test_add_func("/state/first-member", test_first_member_owns_all);
 	g_test_add_func("/state/operators-race", test_operators_race);
-	g_test_add_func("/state/second-copy", test_second_copy_is_ignored);
+	g_test_add_func("/state/second-copy", test_duplicate_append_is_ignored);
 	g_test_add_func("/state/successor", test_successor_inherits);
 	g_test_add_func("/state/data-centre-out",
 			test_data_centre_out_moves_shards);
@@ -432,8 +434,8 @@
 			test_data_centre_out_unsettled);
 	g_test_add_func("/state/stale-move", test_stale_move_is_dropped);
 	g_test_add_func("/state/balance", test_balance_moves_little);
-	g_test_add_func("/state/snapshot", test_snapshot_is_whole);
-	g_test_add_func("/state/broken-records", test_broken_records);
+	g_test_add_func("/state/snapshot", test_snapshot_is_complete);
+	g_test_add_func("/state/broken-records", test_malformed_records);
 	g_test_add_func("/state/expulsion-by-old-witnesses",
 			test_expulsion_by_old_witnesses);
 	g_test_add_func("/state/gap", test_gap);
