--- a/t/test-gate.c
+++ b/t/test-gate.c
@@ -15,7 +15,7 @@
  * A server in cold start falls over under full load. The gate must begin with
  * a request or two and take its time.
  */
-static void test_limit_starts_cold(void)
+static void test_limit_slow_start(void)
 {
 	struct limit l;
 	int64_t now;
@@ -402,7 +402,7 @@
 	queue_finish(&q);
 }
 
-static int64_t last_refused_ms(struct admission *a)
+static int64_t last_long_refused_ms(struct admission *a)
 {
 	struct queued in = { .deadline_ms = 1460 };
 	struct queued *victim;
@@ -447,7 +447,7 @@
 	queue_update_service_ms(&a.queue, 0, 40);
 	queue_update_service_ms(&a.queue, 1, 150);
 	a.n_in_flight = 12;
-	g_assert_cmpint(last_refused_ms(&a), <=, 400);
+	g_assert_cmpint(last_long_refused_ms(&a), <=, 400);
 	admission_finish(&a);
 }
 
@@ -581,7 +581,7 @@
 int main(int argc, char **argv)
 {
 	g_test_init(&argc, &argv, NULL);
-	g_test_add_func("/limit/cold", test_limit_starts_cold);
+	g_test_add_func("/limit/cold", test_limit_slow_start);
 	g_test_add_func("/limit/cold-again", test_limit_restarts_slow_start);
 	g_test_add_func("/limit/stall", test_limit_recovers_after_stall);
 	g_test_add_func("/limit/shed", test_limit_halves_on_shedding);
--- a/t/test-grants.c
+++ b/t/test-grants.c
@@ -24,32 +24,32 @@
 
 static bool serves(const void *user, uint32_t shard, int64_t *fence)
 {
-	const struct owned_shards *w = user;
+	const struct owned_shards *owned = user;
 
-	*fence = w->fence[shard];
+	*fence = owned->fence[shard];
 	return *fence;
 }
 
 static bool expects(const void *user, uint32_t shard)
 {
-	const struct owned_shards *w = user;
+	const struct owned_shards *owned = user;
 
-	return w->expected[shard];
+	return owned->expected[shard];
 }
 
 static const struct grant_owner_ops owner_ops = { serves, expects };
 
 struct fixture {
 	struct grants g;
-	struct owned_shards w;
-	struct grant_owner o;
+	struct owned_shards owned;
+	struct grant_owner owner;
 	int64_t now;
 	int64_t heartbeat_number;
 };
 
 static void renew_lease(struct fixture *f)
 {
-	f->o.lease_end_ms = f->now + LEASE_MS;
+	f->owner.lease_end_ms = f->now + LEASE_MS;
 }
 
 /* A server that is heard, with nothing left of a process before this one. */
@@ -60,10 +60,10 @@
 	grants_init(&f->g, &grant_by_call, 0);
 	grants_resize(&f->g, N_SHARDS, N_KEYS);
 	grant_call_heartbeat_received(&f->g);
-	f->o.ops = &owner_ops;
-	f->o.user = &f->w;
-	f->o.newest_fence = 999;
-	f->o.is_caught_up = true;
+	f->owner.ops = &owner_ops;
+	f->owner.user = &f->owned;
+	f->owner.newest_fence = 999;
+	f->owner.is_caught_up = true;
 	renew_lease(f);
 }
 
@@ -73,14 +73,14 @@
 	uint32_t i;
 
 	for (i = from; i <= to; i++) {
-		f->w.fence[i] = fence;
-		f->w.expected[i] = fence;
+		f->owned.fence[i] = fence;
+		f->owned.expected[i] = fence;
 	}
 }
 
 static bool next_call(struct fixture *f, struct grant_call *c)
 {
-	return grant_call_next(&f->g, &f->o, BOTH, HOLD_MAX_MS, f->now, c);
+	return grant_call_next(&f->g, &f->owner, BOTH, HOLD_MAX_MS, f->now, c);
 }
 
 static void finish_call(struct fixture *f, const struct grant_call *c,
@@ -141,8 +141,8 @@
 	set_owned(&f, 0, 0, 10);
 	g_assert_true(next_call(&f, &c));
 	g_assert_cmpfloat(c.send_by_ms + c.hold_ms * GRANT_CLOCK_DRIFT_FACTOR,
-			  <=, f.o.lease_end_ms);
-	g_assert_cmpint(c.latest_end_ms, <=, f.o.lease_end_ms);
+			  <=, f.owner.lease_end_ms);
+	g_assert_cmpint(c.latest_end_ms, <=, f.owner.lease_end_ms);
 	g_assert_cmpint(c.earliest_end_ms, <=, f.now + c.hold_ms);
 	grants_finish(&f.g);
 }
@@ -155,7 +155,7 @@
 
 	set_up(&f);
 	set_owned(&f, 0, 0, 10);
-	f.o.lease_end_ms = f.now + 200;
+	f.owner.lease_end_ms = f.now + 200;
 	g_assert_false(next_call(&f, &c));
 	grants_finish(&f.g);
 }
@@ -322,7 +322,7 @@
 		g_assert_cmpuint(c.first, !=, 1);
 		finish_call(&f, &c, GRANT_APPLIED, NULL);
 	}
-	f.w.fence[1] = 30;
+	f.owned.fence[1] = 30;
 	g_assert_true(next_call(&f, &c));
 	g_assert_cmpuint(c.first, ==, 1);
 	g_assert_cmpint(c.row.fence, ==, 30);
@@ -412,7 +412,7 @@
 	struct grant_call c;
 
 	set_up(&f);
-	f.o.lease_end_ms = f.now + 60000;
+	f.owner.lease_end_ms = f.now + 60000;
 	set_owned(&f, 0, 0, 10);
 	g_assert_true(next_call(&f, &c));
 	g_assert_cmpint(c.latest_end_ms, <=,
@@ -439,7 +439,7 @@
 	grants_resize(&f.g, N_SHARDS, N_KEYS);
 	grant_call_heartbeat_received(&f.g);
 	for (i = 0; i < N_SHARDS; i++)
-		f.w.expected[i] = true;
+		f.owned.expected[i] = true;
 	g_assert_false(next_call(&f, &c));
 	g_assert_true(grants_may_hold(&f.g, 0, f.now + LEASE_MS - 1));
 	g_assert_false(grants_may_hold(&f.g, 0, f.now + LEASE_MS));
@@ -530,8 +530,8 @@
 	struct grant_call c;
 
 	grant_four_shards(&f);
-	memset(f.w.fence, 0, sizeof(f.w.fence));
-	f.o.lease_end_ms = 0;
+	memset(f.owned.fence, 0, sizeof(f.owned.fence));
+	f.owner.lease_end_ms = 0;
 	g_assert_false(next_call(&f, &c));
 	set_owned(&f, 0, 3, 10);
 	f.now += 1900;
@@ -558,7 +558,7 @@
 static GArray *answer_rows(struct fixture *f, size_t max_len, int64_t *hold_ms,
 			   uint32_t *n_rows)
 {
-	GArray *rows = grant_heartbeat_rows(&f->g, &f->o, true, HOLD_MAX_MS,
+	GArray *rows = grant_heartbeat_rows(&f->g, &f->owner, true, HOLD_MAX_MS,
 					    f->now, hold_ms);
 	uint32_t n_omitted;
 
@@ -609,8 +609,8 @@
 	uint32_t i;
 
 	for (i = 0; i < N_SHARDS; i++)
-		if (f->w.fence[i] &&
-		    grants_server_holds(&f->g, i, f->w.fence[i], f->now))
+		if (f->owned.fence[i] &&
+		    grants_server_holds(&f->g, i, f->owned.fence[i], f->now))
 			bits |= 1 << i;
 	return bits;
 }
@@ -622,16 +622,16 @@
 static void test_omitted_is_not_granted(void)
 {
 	struct fixture f;
-	uint32_t was;
+	uint32_t granted;
 
 	set_up_heartbeats(&f);
-	was = exchange_heartbeat(&f, 0, ROOM_FOR_TWO);
-	g_assert_cmphex(was, ==, 0x05);
-	g_assert_cmphex(served_shards(&f), ==, was);
+	granted = exchange_heartbeat(&f, 0, ROOM_FOR_TWO);
+	g_assert_cmphex(granted, ==, 0x05);
+	g_assert_cmphex(served_shards(&f), ==, granted);
 	g_assert_false(grants_may_hold(&f.g, 6, f.now));
 	g_assert_true(grants_waiting_for_room(&f.g, 6));
 	g_assert_false(grants_waiting_for_room(&f.g, 1));
-	g_assert_cmphex(exchange_heartbeat(&f, was, 4000), ==, 0x55);
+	g_assert_cmphex(exchange_heartbeat(&f, granted, 4000), ==, 0x55);
 	g_assert_false(grants_waiting_for_room(&f.g, 6));
 	g_assert_cmphex(served_shards(&f), ==, 0x55);
 	grants_finish(&f.g);
--- a/t/test-readers.c
+++ b/t/test-readers.c
@@ -3,7 +3,7 @@
 
 /* Who reads the log, and how what is read there reaches the rest. */
 
-#define FIRST_READERS 2
+#define N_LOG_READERS 2
 #define N_RECORDS 20
 
 static void start_fleet(struct sim *s, uint32_t seed)
@@ -57,13 +57,13 @@
 			g_assert_true(all_apply(&s, 300));
 		}
 		g_assert_cmpuint(count_reads(&s) - before, <=,
-				 FIRST_READERS * N_RECORDS + 4);
+				 N_LOG_READERS * N_RECORDS + 4);
 		sim_finish(&s);
 	}
 }
 
 /* Those who read for all cannot reach the log, and nobody says so. */
-static void test_first_readers_cut_off(void)
+static void test_log_readers_cut_off(void)
 {
 	uint32_t seed, i;
 
@@ -82,7 +82,7 @@
 }
 
 /* Those who read for all are killed at the same time. */
-static void test_first_readers_killed(void)
+static void test_log_readers_killed(void)
 {
 	uint32_t seed, i;
 
@@ -193,9 +193,9 @@
 	g_test_add_func("/readers/two-read-for-all",
 			test_two_readers_for_fleet);
 	g_test_add_func("/readers/first-readers-cut-off",
-			test_first_readers_cut_off);
+			test_log_readers_cut_off);
 	g_test_add_func("/readers/first-readers-killed",
-			test_first_readers_killed);
+			test_log_readers_killed);
 	g_test_add_func("/readers/who-is-told-reads-seldom",
 			test_notified_nodes_read_rarely);
 	g_test_add_func("/readers/all-who-pass-on-cut-off",
--- a/t/test-route.c
+++ b/t/test-route.c
@@ -132,7 +132,7 @@
 }
 
 /* "Not run" of one attempt: it never left, or the gate or the server said so. */
-static bool may_be_refused(const struct plan_attempt *a)
+static bool certainly_not_run(const struct plan_attempt *a)
 {
 	return a->state == ATTEMPT_NOT_SENT ||
 	       (a->state == ATTEMPT_NOT_RUN &&
@@ -159,7 +159,7 @@
 		plan_attempt_event(&p, 1, i / n / n / n);
 		answered = a[0].state == ATTEMPT_ANSWERED ||
 			   a[1].state == ATTEMPT_ANSWERED;
-		refused = may_be_refused(&a[0]) && may_be_refused(&a[1]);
+		refused = certainly_not_run(&a[0]) && certainly_not_run(&a[1]);
 		g_assert_cmpint(plan_outcome(&p), ==,
 				answered  ? PLAN_ANSWERED
 				: refused ? PLAN_NOT_RUN
