--- a/t/test-gate.c
+++ b/t/test-gate.c
@@ -12,8 +12,8 @@
 #include "util/result.h"
 
 /*
- * A server in cold start falls over under full load. The gate must begin with
- * a request or two and take its time.
+ * A backend server in cold start crashes under full load, so the limit must
+ * start with one or two requests and rise to all slots over several seconds.
  */
 static void test_limit_slow_start(void)
 {
@@ -38,8 +38,9 @@
 }
 
 /*
- * A server turns cold again without a word: answers become many times slower.
- * Full load would keep it down, so the gate begins again from a few.
+ * A backend server can return to cold start without reporting it; its answers
+ * then take many times longer. Full load would keep it in that state, so the
+ * slow start must begin again.
  */
 static void test_limit_restarts_slow_start(void)
 {
@@ -58,8 +59,9 @@
 }
 
 /*
- * A neighbour that nobody sees stalls the server for a moment; all that was in
- * flight comes back late together. That must not cost a whole cold start.
+ * Load that the gate does not see can stall the backend server for a moment;
+ * then all requests in flight are answered late together. LIMIT_INITIAL applies
+ * until the next good answer, but a new slow start must not follow.
  */
 static void test_limit_recovers_after_stall(void)
 {
@@ -125,8 +127,8 @@
 }
 
 /*
- * Under overload something must be refused. The class that may be refused
- * gives way to the one that may not, whoever came first.
+ * Under overload a request must be refused. It must be of a class with a
+ * refusal target above 0, even if it arrived before a request of another class.
  */
 static void test_queue_refuses_by_target(void)
 {
@@ -166,7 +168,10 @@
 	in.due_ms = 9000;
 	in.deadline_ms = 10000;
 	g_assert_true(queue_can_finish_in_time(&q, 0, &in, 2, 2));
-	/* In time for its caller, and too late for its target by waiting. */
+	/*
+	 * It would meet its deadline, but waiting would make it miss its
+	 * target.
+	 */
 	in.due_ms = 300;
 	g_assert_false(queue_can_finish_in_time(&q, 0, &in, 2, 2));
 	in.due_ms = 9000;
@@ -176,9 +181,9 @@
 }
 
 /*
- * A server works on long requests of one class and short ones of another. A
- * short one with less time left than the long ones take is still good for an
- * answer; refused, its caller's own request fails with it.
+ * The server works on long requests of one class and short ones of another. A
+ * short request with less time left than a long one takes can still be answered
+ * in time. If it were refused, the request of its caller would fail too.
  */
 static void test_queue_short_among_long(void)
 {
@@ -200,7 +205,10 @@
 	queue_finish(&q);
 }
 
-/* A caller that got no answer sends again; the booking must not run twice. */
+/*
+ * A caller that gets no answer retries with the same id. The id must still be
+ * in the table, so that the booking does not run twice.
+ */
 static void test_ids_repeat(void)
 {
 	struct ids t;
@@ -216,8 +224,8 @@
 }
 
 /*
- * More ids come than there is room for. Forgetting the oldest would let it
- * run again; the new one is refused instead.
+ * When the table is full, a new id is refused. If the oldest id were evicted
+ * instead, a retry of that request would run it again.
  */
 static void test_ids_full(void)
 {
@@ -233,8 +241,8 @@
 }
 
 /*
- * A shard moves while a booking on it has an uncertain end. The next owner
- * must know the id, or a resend there would run it again.
+ * A shard moves while the outcome of a booking on it is unknown. The next owner
+ * must get the id, or a retry there would run the booking again.
  */
 static void test_ids_move(void)
 {
@@ -267,6 +275,10 @@
 	g_assert_cmpint(ids_created_ms("booking-1"), ==, -1);
 }
 
+/*
+ * The number of requests that the rate limit allows from "from" until before
+ * "to", sent as early as possible.
+ */
 static uint32_t count_sent(struct cold_start *c, int64_t from, int64_t to)
 {
 	uint32_t n = 0;
@@ -281,10 +293,10 @@
 }
 
 /*
- * A node and its backend server start together after a loss of power, and the
- * server's first heartbeat comes before the node has read a configuration.
- * Taken for a server that bears anything, it would get its full load cold and
- * fall over.
+ * A node and its backend server start together after a power loss, and the
+ * backend server's first heartbeat arrives before the node has read a
+ * configuration. If the rate were unlimited until then, the cold backend server
+ * would get its full load and crash.
  */
 static void test_cold_start_before_configuration(void)
 {
@@ -298,7 +310,10 @@
 	g_assert_cmpuint(count_sent(&c, 2000, 2900), <=, 25);
 }
 
-/* In any second, not only in those that begin on the full, it stays below. */
+/*
+ * The rate must hold in every period of one second, not only in periods that
+ * begin on a full second.
+ */
 static void test_cold_start_sliding_window(void)
 {
 	struct cold_start c;
@@ -315,6 +330,7 @@
 	g_assert_cmpuint(count_sent(&c, 2000, 2002), ==, 100000);
 }
 
+/* Sets up a queue with two classes whose usual service times are known. */
 static void init_two_classes(struct queue *q, double short_ms, double long_ms)
 {
 	queue_init(q, 4);
@@ -324,9 +340,9 @@
 }
 
 /*
- * A server that has more to do than it can. In the order of their targets the
- * long requests of before would go ahead of short ones that others wait for,
- * and fewer of all would be served.
+ * The server gets more work than it can do. In the order of their targets
+ * alone, long requests that arrived earlier would run before short ones that
+ * other requests wait for, and fewer requests would be answered in total.
  */
 static void test_queue_shortest_first(void)
 {
@@ -351,8 +367,8 @@
 }
 
 /*
- * A long queue of long requests. A short one need not wait for them, and must
- * not be refused for their time.
+ * A long queue of long requests. A short request starts before them, so it must
+ * not be refused for the time that they take.
  */
 static void test_queue_counts_earlier_work(void)
 {
@@ -376,9 +392,9 @@
 }
 
 /*
- * A full queue, and no class that operators would rather have refused. Shared
- * out evenly, refusals hit the calls that requests elsewhere wait for, and all
- * of the work on those is wasted.
+ * The queue is full, and no class has a refusal target. If refusals were spread
+ * evenly over the classes, they would hit calls that requests elsewhere wait
+ * for, and all the work done for those requests would be wasted.
  */
 static void test_queue_full_evicts_long(void)
 {
@@ -402,6 +418,10 @@
 	queue_finish(&q);
 }
 
+/*
+ * Queues eight long requests, then offers short ones as fast as slots become
+ * free. Returns the time when the last long request was refused.
+ */
 static int64_t last_long_refused_ms(struct admission *a)
 {
 	struct queued in = { .deadline_ms = 1460 };
@@ -433,9 +453,9 @@
 }
 
 /*
- * Twelve slots, all taken, and short requests that come as fast as they free.
- * The long ones that wait are never begun. Told so only at their deadline,
- * their callers have no time left to come back.
+ * All twelve slots are taken, and short requests arrive as fast as slots become
+ * free, so the long requests in the queue never start. If these were refused
+ * only at their deadline, their callers would have no time left to retry.
  */
 static void test_admission_overtaken(void)
 {
@@ -454,7 +474,10 @@
 #define LOAD_MS 20000
 #define WORK_MS 100
 
-/* Of requests that come every gap_ms, how many are begun in good time. */
+/*
+ * The number of requests, one arriving every gap_ms, that start early enough to
+ * finish by their due_ms even if they take twice the usual time.
+ */
 static uint32_t count_started_in_time(struct admission *a, int64_t gap_ms)
 {
 	int64_t free_ms[12] = { 0 };
@@ -482,7 +505,7 @@
 			for (i = 0; free_ms[i] > now; i++)
 				;
 			free_ms[i] = now + WORK_MS;
-			/* Its work may take twice as long as usual. */
+			/* In time even if it takes twice as long as usual. */
 			n_in_time += now + 2 * WORK_MS <= out.due_ms;
 		}
 	}
@@ -490,9 +513,10 @@
 }
 
 /*
- * A server that gets a third more than it can do, for long. Begun in the
- * order in which they are due, all wait until there is just time enough for
- * the usual work, and what takes longer than usual is late.
+ * For a long time the server gets over a third more work than it can do.
+ * Started in the order in which they are due, all requests would wait until
+ * only the usual service time is left, and each one that takes longer would be
+ * late.
  */
 static void test_admission_overload_in_time(void)
 {
@@ -507,7 +531,10 @@
 	admission_finish(&a);
 }
 
-/* A link of 8 Mbit/s carries 1,000 bytes a millisecond, 900 of them answers. */
+/*
+ * A link of 8 Mbit/s carries 1,000 bytes per millisecond, of which 900 are
+ * bytes of answers.
+ */
 static void test_link_wait(void)
 {
 	struct link l;
@@ -528,7 +555,10 @@
 	g_assert_cmpfloat(link_wait_ms(&l, 1e9, 1000), ==, 0);
 }
 
-/* Two clocks drift apart: what was the fastest way an hour ago says nothing. */
+/*
+ * The clocks of two hosts drift apart, so the smallest offset of an hour ago
+ * must not be used to compute the delay of a message now.
+ */
 static void test_delay_follows_drift(void)
 {
 	struct delay d;
@@ -543,7 +573,10 @@
 			400);
 }
 
-/* Operators change a route; what was learned of the others is not forgotten. */
+/*
+ * When operators change a route, the average service times of the other classes
+ * must be kept.
+ */
 static void test_queue_keeps_class_stats(void)
 {
 	struct queue q;
@@ -559,7 +592,7 @@
 	queue_finish(&q);
 }
 
-/* A flood of what is noted must not make the newest of it forgotten. */
+/* However many entries are added, the newest ones must still be found. */
 static void test_fifo_cache_evicts_oldest(void)
 {
 	struct recent r;
--- a/t/test-grants.c
+++ b/t/test-grants.c
@@ -5,9 +5,9 @@
 #include "platform/announce.h"
 
 /*
- * Grants by call, one case at a time: what is called next, and what is known of
- * a shard while a call is on its way, unanswered or refused. Then grants by
- * heartbeat, where an answer has no room for all rows.
+ * Grants by call, one case at a time: which call is made next, and what is
+ * known of a shard while a call is in flight, was not answered or was refused.
+ * Then grants by heartbeat, where an answer has no room for all rows.
  */
 
 #define N_SHARDS 8
@@ -16,7 +16,10 @@
 #define LEASE_MS 3000
 #define BOTH (1 << GRANT_CALL_GRANT | 1 << GRANT_CALL_RELEASE)
 
-/* What a node would say of its shards: fence 0 where it does not serve. */
+/*
+ * The shards of a node: the fence under which it serves each, 0 if it does not
+ * serve it, and whether it expects to own it.
+ */
 struct owned_shards {
 	int64_t fence[N_SHARDS];
 	bool expected[N_SHARDS];
@@ -52,7 +55,10 @@
 	f->owner.lease_end_ms = f->now + LEASE_MS;
 }
 
-/* A server that is heard, with nothing left of a process before this one. */
+/*
+ * A server whose heartbeat was received, with no grants left from a previous
+ * process.
+ */
 static void set_up(struct fixture *f)
 {
 	memset(f, 0, sizeof(*f));
@@ -89,7 +95,7 @@
 	grant_call_done(&f->g, c, outcome, handover, f->now);
 }
 
-/* Give shards 0 to 3 under fence 10, answered. */
+/* Grants shards 0 to 3 under fence 10; the server acknowledges the call. */
 static void grant_four_shards(struct fixture *f)
 {
 	struct grant_call c;
@@ -106,8 +112,8 @@
 }
 
 /*
- * Until the server has said that it holds a key, a request for it would be
- * turned away.
+ * A shard counts as held only when the server has acknowledged the grant, since
+ * the server would refuse requests sent before that.
  */
 static void test_held_once_answered(void)
 {
@@ -128,9 +134,10 @@
 }
 
 /*
- * A hold counts from the call's arrival, by a clock that may be 2% slow. Sent
- * at the last moment it must be over when our lease is, or another owner could
- * have its server hold the keys beside ours.
+ * A hold lasts from the arrival of the call, by a clock that may be 2% slow.
+ * Even if the call is sent at the last allowed moment, the hold must end before
+ * our lease does. Otherwise another owner's server could hold the keys while
+ * ours still does.
  */
 static void test_hold_ends_with_lease(void)
 {
@@ -147,7 +154,10 @@
 	grants_finish(&f.g);
 }
 
-/* A lease about to end is no ground for a hold that nobody can renew. */
+/*
+ * When the lease is about to end, a shard must not be granted: the hold could
+ * not be renewed.
+ */
 static void test_no_hold_without_lease(void)
 {
 	struct fixture f;
@@ -161,8 +171,9 @@
 }
 
 /*
- * All runs renewed at once, each heartbeat, would be a burst of calls; renewed
- * too late, one that is lost ends the hold.
+ * If all ranges were renewed with every heartbeat, each heartbeat would cause a
+ * burst of calls. If they were renewed too late, one lost call would end the
+ * hold.
  */
 static void test_renewed_in_time(void)
 {
@@ -187,9 +198,9 @@
 }
 
 /*
- * A renewal gets no answer: the server may carry it out seconds later, after it
- * has let the keys go. Given to another server at once they would then be held
- * by both.
+ * A renewal gets no answer. The server may carry it out seconds later, after it
+ * has released the keys. If they were granted to another server at once, two
+ * servers would hold them.
  */
 static void test_in_doubt_outlives_release(void)
 {
@@ -213,7 +224,10 @@
 	grants_finish(&f.g);
 }
 
-/* The same while the call is still on its way, which may be its first. */
+/*
+ * The same while the call is in flight, even if it is the first one for the
+ * shard.
+ */
 static void test_in_flight_counts_as_held(void)
 {
 	struct fixture f;
@@ -230,7 +244,10 @@
 	grants_finish(&f.g);
 }
 
-/* A release without an answer is asked for again; until then all is held. */
+/*
+ * A release without an answer is repeated. Until one is acknowledged, its
+ * shards count as held.
+ */
 static void test_release_repeated(void)
 {
 	struct fixture f;
@@ -254,8 +271,9 @@
 }
 
 /*
- * The handover that a release was answered with keeps the keys warm at their
- * next holder. It goes with the first grant there, and with that alone.
+ * The server may answer a release with a handover, with which the next holder
+ * of the keys starts warm. It must be sent with the first grant there, and with
+ * no other call.
  */
 static void test_handover(void)
 {
@@ -291,9 +309,10 @@
 }
 
 /*
- * The server has seen a higher fence on one key of a run. All of the run was
- * refused; the others must not wait for that one, and that one must not be
- * asked for again under a fence that is known to be too low.
+ * The server has seen a higher fence on one key of a range, so it refused the
+ * whole range. The other shards must be granted without waiting for that one,
+ * and that one must not be granted again under a fence that is known to be too
+ * low.
  */
 static void test_fenced_shard_is_isolated(void)
 {
@@ -330,9 +349,11 @@
 }
 
 /*
- * A process starts beside a server that lives on. What the one before granted
- * runs on for up to a lease: taken for free, it would go to another server.
- * What is ours by the log is renewed at once; the rest is asked back.
+ * A process starts while its backend server keeps running. Grants by the
+ * previous process stay in force for up to the length of a lease; if their
+ * shards counted as free, another server could be granted them too. Shards that
+ * are ours by the log are renewed at once, and the release of the others is
+ * requested.
  */
 static void test_prev_process_grants_count(void)
 {
@@ -360,16 +381,16 @@
 	g_assert_cmpint(c.row.fence, ==, 999);
 	g_assert_true(grants_may_hold(&f.g, 5, f.now));
 	finish_call(&f, &c, GRANT_APPLIED, NULL);
-	/* The process before may have been killed with a call in doubt. */
+	/* The previous process may have been killed with a call in doubt. */
 	g_assert_true(grants_may_hold(&f.g, 5, end - 1));
 	g_assert_false(grants_may_hold(&f.g, 5, end));
 	grants_finish(&f.g);
 }
 
 /*
- * What was given anew has raised the fence: no call of the process before is
- * carried out any more, and let go the shard is free at once. Under the same
- * fence a late call of our own still would be.
+ * After a grant under a higher fence, the server no longer carries out calls of
+ * the previous process, so the shard is free as soon as it is released. Under
+ * the same fence the server could still carry out a late call of this process.
  */
 static void test_higher_fence_ends_doubt(void)
 {
@@ -405,7 +426,10 @@
 	grants_finish(&f.g);
 }
 
-/* A new process waits no longer than the one before can have granted. */
+/*
+ * The time for which a new process counts the shards as held must cover the
+ * longest hold that the previous process can have granted.
+ */
 static void test_prev_process_wait_is_long_enough(void)
 {
 	struct fixture f;
@@ -423,9 +447,10 @@
 }
 
 /*
- * The same before the new process has joined: what the log still has under the
- * name of the one before is about to be ours, and let go it would come back
- * cold. Without any word of the server's the wait is for the longest grant.
+ * The same before the new process has joined. Shards that the log still lists
+ * for the previous process are about to be ours; if they were released, they
+ * would come back cold. As long as the server has acknowledged no call for
+ * them, they count as held for the longest possible grant.
  */
 static void test_prev_process_grants_kept_until_joined(void)
 {
@@ -447,9 +472,10 @@
 }
 
 /*
- * The server ended and started again, and we hear so late: what was meant for
- * the life before may have reached the new one. It is asked back, and the
- * answer to a call of before does not count as the new life's word.
+ * The server was restarted, and the node learns of it late: calls meant for the
+ * previous instance may have reached the new one. The release of their shards
+ * is requested, and an answer to an earlier call does not show what the new
+ * instance holds.
  */
 static void test_new_instance_releases_all(void)
 {
@@ -475,9 +501,10 @@
 }
 
 /*
- * Nobody listens at the server's address any more. Waited out, its holds would
- * keep its keys from their next owner for seconds. A call on its way is another
- * matter, for it may have found the next life.
+ * No process listens at the server's address any more. If its holds were left
+ * to expire, the keys would have no owner for seconds. A shard with a call in
+ * flight still counts as held, since the call may have reached the next
+ * instance.
  */
 static void test_stopped_server_holds_nothing(void)
 {
@@ -502,8 +529,9 @@
 }
 
 /*
- * The server turns a request away for a key that we think it holds. Waiting for
- * the next renewal would have it turn away all others until then.
+ * The server refuses a request for a key that it should hold. The shard must be
+ * granted again at once: until the next renewal the server would refuse all
+ * other requests for it.
  */
 static void test_misdirected_is_granted_again(void)
 {
@@ -521,8 +549,8 @@
 }
 
 /*
- * A lease that lapses for a moment, with the keys still ours by the log: asked
- * back, they would come back cold a moment later.
+ * A lease lapses for a moment, and the log still lists the shards as ours. They
+ * must not be released, since they would come back cold a moment later.
  */
 static void test_lapse_releases_nothing(void)
 {
@@ -541,7 +569,10 @@
 	grants_finish(&f.g);
 }
 
-/* A server told by the answers to its heartbeats: four shards, four rows. */
+/*
+ * A server that gets its grants in the answers to its heartbeats: four shards,
+ * four rows.
+ */
 static void set_up_heartbeats(struct fixture *f)
 {
 	uint32_t i;
@@ -554,7 +585,10 @@
 		set_owned(f, i, i, 10 + i);
 }
 
-/* The rows of an answer of up to max_len bytes, as the server reads them. */
+/*
+ * The rows of an answer of up to max_len bytes. Sets *n_rows to the number of
+ * them that fit.
+ */
 static GArray *answer_rows(struct fixture *f, size_t max_len, int64_t *hold_ms,
 			   uint32_t *n_rows)
 {
@@ -568,7 +602,10 @@
 	return rows;
 }
 
-/* A heartbeat of a server that holds the shards of the bits, and its answer. */
+/*
+ * A heartbeat of a server that holds the shards whose bits are set in "held".
+ * Returns the bits of the shards that the answer grants.
+ */
 static uint32_t exchange_heartbeat(struct fixture *f, uint32_t held,
 				   size_t max_len)
 {
@@ -602,7 +639,7 @@
 	return bits;
 }
 
-/* The shards that requests are sent for. */
+/* The bits of the shards that requests are sent for. */
 static uint32_t served_shards(const struct fixture *f)
 {
 	uint32_t bits = 0;
@@ -615,10 +652,13 @@
 	return bits;
 }
 
-/* Bytes of an answer with two rows of four. */
+/* Length in bytes of an answer with room for two rows of four. */
 #define ROOM_FOR_TWO 60
 
-/* Requests for rows left out were sent, and all turned away by the server. */
+/*
+ * A shard that an answer had no room for must not count as granted, or requests
+ * would be sent for it and the server would refuse them all.
+ */
 static void test_omitted_is_not_granted(void)
 {
 	struct fixture f;
@@ -637,7 +677,11 @@
 	grants_finish(&f.g);
 }
 
-/* Let go for want of room, a key went to another server while still held. */
+/*
+ * A held shard that an answer had no room for counts as held until its grant
+ * ends. If it counted as released, another server could be granted it while
+ * this one still holds it.
+ */
 static void test_omitted_counts_as_held(void)
 {
 	struct fixture f;
@@ -655,7 +699,10 @@
 	grants_finish(&f.g);
 }
 
-/* Rows of low keys took the place of held ones, which came back cold. */
+/*
+ * When an answer has no room for all rows, shards already held go first. If
+ * rows of lower keys took their place, they would come back cold.
+ */
 static void test_held_rows_come_first(void)
 {
 	struct fixture f;
@@ -672,7 +719,10 @@
 	grants_finish(&f.g);
 }
 
-/* Newcomers of low keys went before a row that had waited for long. */
+/*
+ * Among shards not held yet, the one that has waited longest goes first, not
+ * the one with the lowest keys.
+ */
 static void test_longest_wait_goes_first(void)
 {
 	struct fixture f;
