--- a/t/test-log-client.c
+++ b/t/test-log-client.c
@@ -4,7 +4,7 @@
 #include "net/log-client.h"
 #include "util/result.h"
 
-/* When the log's client reads, and when it begins anew. */
+/* When the log client reads, and when it starts a read again. */
 
 static uint32_t n_recovers;
 static uint32_t n_reads;
@@ -28,7 +28,10 @@
 				    .recover = fake_recover };
 static const struct log_handlers handlers;
 
-/* Peers know more while the whole log is on its way, which it tells of soon. */
+/*
+ * A read of the whole log must not be restarted when peers know newer records:
+ * it takes long and will include those records.
+ */
 static void test_recovery_is_not_restarted(void)
 {
 	struct ev_loop *loop = ev_default_loop(0);
@@ -71,6 +74,7 @@
 						     .on_regained =
 							     count_regained };
 
+/* Ends a read that brings n_records records. */
 static void finish_read(struct log_client *c, uint32_t n_records)
 {
 	struct log_batch b = { .records = json_array() };
@@ -86,8 +90,10 @@
 	json_decref(b.records);
 }
 
-/* Each record by itself wakes every reader: those that follow soon share a
- * read. */
+/*
+ * If readers read each new record at once, every record would wake every
+ * reader. Records that follow within gather_ms share a read.
+ */
 static void test_new_records_are_batched(void)
 {
 	struct ev_loop *loop = ev_default_loop(0);
@@ -103,7 +109,10 @@
 	log_client_finish(&c);
 }
 
-/* Who brings news to the others looks for the store's return more often. */
+/*
+ * A node that relays records sets a smaller maximum for the delay between
+ * retries, to detect sooner that the store answers again.
+ */
 static void test_retries_are_bounded(void)
 {
 	struct log_batch unreachable = { .result = RESULT_IO };
@@ -120,7 +129,10 @@
 	log_client_finish(&c);
 }
 
-/* One stream hears of the store's return; the other still waits in the dark. */
+/*
+ * One stream has learned that the store answers again. The other must then read
+ * at once instead of waiting for its next retry.
+ */
 static void test_other_stream_up_restarts_read(void)
 {
 	struct log_batch unreachable = { .result = RESULT_IO };
