--- a/t/test-member.c
+++ b/t/test-member.c
@@ -10,10 +10,10 @@
 
 /* How the keys of a simulated fleet are held. */
 enum sim_kind {
-	SIM_HASHED, /* by nodes alone */
-	SIM_GRANTED, /* by servers, told by the answers to their heartbeats */
-	SIM_GRANTED_ONE_ROW, /* the same, and the answers have room for one row */
-	SIM_CALLED, /* by servers, told by calls */
+	SIM_HASHED, /* by nodes, without grants */
+	SIM_GRANTED, /* by servers, granted in the answers to heartbeats */
+	SIM_GRANTED_ONE_ROW, /* the same, with room for one row in an answer */
+	SIM_CALLED, /* by servers, granted by calls */
 };
 
 static uint64_t run_with_faults(struct sim *s, uint32_t seed, uint32_t rules,
@@ -45,10 +45,10 @@
 }
 
 /*
- * Nodes are killed, frozen, cut off and replaced, the log goes away and loses
- * answers, operators race, messages are late, doubled and lost, alone and
- * together. A user would notice two servers answering for one key, or a key
- * that nobody serves once the trouble is over.
+ * Nodes are killed, paused, cut off and replaced, the log has outages and loses
+ * answers, operators publish at the same time, and messages are delayed,
+ * duplicated and lost, separately and together. A user would notice two servers
+ * that serve one key, or a key that no server serves once the faults are over.
  */
 static void test_random_faults(gconstpointer kind)
 {
@@ -63,20 +63,23 @@
 		sim_heal(&s);
 		if (!sim_converge(&s, 60000)) {
 			sim_print(&s);
-			g_error("seed %u: %u shards unserved", first_seed + i,
-				sim_unserved(&s));
+			g_error("seed %u: %u shards not served after the "
+				"faults ended",
+				first_seed + i, sim_unserved(&s));
 		}
 		if (!sim_settle(&s, 60000))
-			g_error("seed %u: a move is never settled",
+			g_error("seed %u: a move was not settled within 60 s",
 				first_seed + i);
 		if (s.breaches)
-			g_error("seed %u: two owners once healed",
+			g_error("seed %u: two owners after the faults ended",
 				first_seed + i);
 		if (s.unnamed)
-			g_error("seed %u: granted what no answer named",
+			g_error("seed %u: counted a shard as granted "
+				"that no answer named",
 				first_seed + i);
 		if (s.fence_breaches)
-			g_error("seed %u: a fence that was another's",
+			g_error("seed %u: served under a fence that is not the "
+				"newest",
 				first_seed + i);
 		sim_finish(&s);
 	}
@@ -84,8 +87,8 @@
 }
 
 /*
- * With one safety rule turned off, the same runs must end in two owners for
- * some key; a rule whose absence goes unnoticed is not tested.
+ * With one safety rule off, the same runs must find two owners of some key. A
+ * rule that can be off without a breach is not covered by the runs.
  */
 static void check_rule_is_needed(uint32_t rule, enum sim_kind kind)
 {
@@ -101,7 +104,7 @@
 			return;
 		}
 	}
-	g_error("rule %x off and nothing noticed in 400 seeds", rule);
+	g_error("rule %x off: no breach in 400 seeds", rule);
 }
 
 static void test_rule_is_needed(gconstpointer rule)
@@ -109,19 +112,22 @@
 	check_rule_is_needed(GPOINTER_TO_UINT(rule), SIM_HASHED);
 }
 
-/* The same, where backend servers hold keys by grants. */
+/* The same with backend servers that hold keys by grants. */
 static void test_rule_is_needed_granted(gconstpointer rule)
 {
 	check_rule_is_needed(GPOINTER_TO_UINT(rule), SIM_GRANTED);
 }
 
-/* And where those are told by calls, with one of the calls' own rules off. */
+/* The same with grants by call, and one of the rules for these calls off. */
 static void test_rule_is_needed_called(gconstpointer rule)
 {
 	check_rule_is_needed(GPOINTER_TO_UINT(rule), SIM_CALLED);
 }
 
-/* Those that the hashed runs catch; the others have tests of their own. */
+/*
+ * All rules, in the order of their bits. main() skips those that runs without
+ * grants do not find missing.
+ */
 static const char *const rule_names[] = {
 	"lease-from-sending",	"witness-waits",
 	"stop-is-final",	"majority",
@@ -131,7 +137,7 @@
 	"promise-is-kept",	"requests-end-first",
 };
 
-/* Those that the runs with grants catch within a few hundred seeds. */
+/* Rules that runs with grants find missing within a few hundred seeds. */
 static const struct {
 	uint32_t rule;
 	const char *name;
@@ -173,7 +179,7 @@
 	g_test_add_data_func("/member/random-calls",
 			     GUINT_TO_POINTER(SIM_CALLED), test_random_faults);
 	for (i = 0; i < G_N_ELEMENTS(rule_names); i++) {
-		/* These have tests of their own, above. */
+		/* Covered by t/test-schedules.c. */
 		if (1u << i == RULE_SUCCESSOR_CATCHES_UP ||
 		    1u << i == RULE_WITNESSES_KNOW_MOVE ||
 		    1u << i == RULE_REQUESTS_END_FIRST ||
