--- a/t/test-net.c
+++ b/t/test-net.c
@@ -70,8 +70,8 @@
 }
 
 /*
- * A peer sends rubbish, by a fault or on purpose. It must be told apart from
- * a message, and must not end the process.
+ * A peer sends malformed data, by a fault or on purpose. Decoding must refuse
+ * it, and must not crash the process.
  */
 static void test_malformed(void)
 {
@@ -135,7 +135,7 @@
 	last_wait_ms = wait_ms;
 }
 
-/* The append goes out, and its answer never comes. */
+/* The append is sent, and its answer is lost. */
 static void fake_append(struct log_client *c, struct log_append *a)
 {
 	(void)c;
@@ -164,10 +164,11 @@
 }
 
 /*
- * The answer to an append is lost while a read waits for news, ten seconds at
- * most. Until a later read has found the end without the record, the node
- * appends nothing more of that kind: an operator's change that it should bring
- * in would wait as long. So that read must not wait, and come at once.
+ * The answer to an append is lost while a read waits up to ten seconds for new
+ * records. The node appends nothing more of that kind until a later read has
+ * reached the end of the log without finding the record, so an operator's
+ * change would be delayed by as much. That later read must start at once and
+ * must not wait.
  */
 static void test_lost_append_answer_is_resolved(void)
 {
@@ -208,11 +209,13 @@
 	uint32_t n_appends;
 	int64_t last_offset;
 	uint32_t n_reads;
-	int result; /* that the writer was told */
+	int result; /* of the append, as the writer got it */
 };
 
-/* The stream ends at seven, and has never heard of anyone who thinks it does
- * not. */
+/*
+ * A stream that ends at offset 7 and refuses appends at any other offset. Reads
+ * fail.
+ */
 static void store_request(void *user, struct httpd_request *r)
 {
 	struct refusing_store *s = user;
@@ -269,7 +272,10 @@
 	httpd_finish(&s->httpd);
 }
 
-/* Many join at once: each that comes second follows instead of reading first. */
+/*
+ * When many nodes join at once, an append that comes second is retried at the
+ * end offset that the store's refusal states, without a read.
+ */
 static void test_append_retried_at_end(void)
 {
 	struct refusing_store s;
@@ -284,7 +290,10 @@
 	g_assert_cmpuint(s.n_appends, ==, 1);
 }
 
-/* What was made short comes back whole, and rubbish as nothing. */
+/*
+ * Inflating restores the bytes that were deflated. Truncated or corrupted data,
+ * and data longer than the limit, gives NULL.
+ */
 static void test_deflate_round_trip(void)
 {
 	GString *text = g_string_new(NULL);
@@ -324,8 +333,9 @@
 }
 
 /*
- * An entry that was killed leaves its requests in gates' queues. Whether
- * anything connects to it must be known without waiting for its lease's end.
+ * An entry that was killed leaves requests in the queues of gates. A gate must
+ * be able to tell that the entry is not connected without waiting for the end
+ * of its lease.
  */
 static void test_peer_disconnect_is_detected(void)
 {
@@ -370,7 +380,9 @@
 	g_string_append_len(received_text, data, len);
 }
 
-/* The library would keep a request for a peer that is gone, and send it late. */
+/*
+ * ZeroMQ would queue a request for a peer that has stopped, and send it late.
+ */
 static void test_nothing_sent_without_connection(void)
 {
 	struct ev_loop *loop = ev_default_loop(0);
@@ -399,7 +411,7 @@
 	g_assert_cmpstr(received_text->str, ==, "bc");
 	g_assert_false(peers_take_back(&p, OTHER_ADDRESS, 2));
 	peers_finish(&other);
-	/* It has ended: known as soon as the library has noticed. */
+	/* The peer has stopped: sending fails once ZeroMQ has detected it. */
 	while (!peers_send_tagged(&p, OTHER_ADDRESS, PLANE_REQUEST, 3, "d", 1))
 		ev_run(loop, EVRUN_NOWAIT);
 	g_assert_false(peers_is_waiting(&p, OTHER_ADDRESS, 3));
@@ -423,7 +435,10 @@
 	return fd;
 }
 
-/* A connection that goes silent before it is set up: nothing else replaces it. */
+/*
+ * A connection on which the peer is silent during setup must time out and be
+ * replaced: nothing else would replace it.
+ */
 static void test_silent_connect_times_out(void)
 {
 	struct peers p;
--- a/t/test-published.c
+++ b/t/test-published.c
@@ -11,11 +11,11 @@
 #include "util/deflate.h"
 #include "util/result.h"
 
-/* What operators publish comes into force, whatever its size and figures. */
+/* What operators publish comes into force, whatever its size and values. */
 
 #define N_ROUTES 6000
 #define MAX_BYTES (192 * 1024)
-#define RECORD_BYTES (256 * 1024) /* of the store */
+#define RECORD_BYTES (256 * 1024) /* the store's limit on a record */
 
 static json_t *rule(const char *name, const char *path, const char *service)
 {
@@ -47,7 +47,10 @@
 	return rules;
 }
 
-/* Apply what operators published; the caller finishes f. */
+/*
+ * Applies a record published by operators and releases it. The caller finishes
+ * f.
+ */
 static void publish(struct fleet *f, json_t *record)
 {
 	struct published p;
@@ -86,7 +89,11 @@
 	return k ? k->name : NULL;
 }
 
-/* Beyond 4,096 routes the whole configuration was refused, for good. */
+/*
+ * A configuration of more than 4,096 routes must come into force. A bound on
+ * their number would refuse it as a whole, and every later version with as many
+ * routes.
+ */
 static void test_routes_without_bound(void)
 {
 	struct fleet f;
@@ -99,7 +106,7 @@
 	fleet_finish(&f);
 }
 
-/* A route with a long name or path is no reason to tell its callers 404. */
+/* A route with a long name or path must match; its callers must not get 404. */
 static void test_long_names(void)
 {
 	g_autofree char *name = g_strnfill(200, 'n');
@@ -116,7 +123,10 @@
 	fleet_finish(&f);
 }
 
-/* One figure beyond what is used here must not keep the others out. */
+/*
+ * A value beyond the range used here must not keep the rest of the
+ * configuration from coming into force.
+ */
 static void test_out_of_range_values(void)
 {
 	json_t *rules = json_array();
@@ -150,7 +160,9 @@
 
 #define N_ROUNDS 400
 
-/* A document like those that operators publish, of few names, at random. */
+/*
+ * A random document like those that operators publish, with few distinct names.
+ */
 static json_t *random_document(GRand *rand, int source)
 {
 	static const char *const services[] = { "records", "bookings", "x" };
@@ -191,7 +203,10 @@
 			 list, "classes", classes, "data_centres");
 }
 
-/* The longest path of the request's host or of any, looked for among all. */
+/*
+ * Searches all classes for the longest path that matches, of the request's host
+ * or of any host.
+ */
 static const char *linear_match(const json_t *doc, const char *method,
 				const char *host, const char *path)
 {
@@ -238,7 +253,10 @@
 	}
 }
 
-/* One after the other, in parts of any size, changes lead to what was meant. */
+/*
+ * Changes split into parts of any size, applied one after the other, must lead
+ * to the intended document.
+ */
 static void test_changes_reproduce_document(void)
 {
 	GRand *rand = g_rand_new_with_seed(28);
@@ -269,7 +287,10 @@
 	g_rand_free(rand);
 }
 
-/* A change of one of thousands of routes is short, whoever has to hear of it. */
+/*
+ * A change to one of thousands of routes must be short, however many nodes have
+ * to read it.
+ */
 static void test_small_change_is_short(void)
 {
 	json_t *before = json_pack("{s:i,s:[{s:s}],s:o,s:[]}", "source", 1,
@@ -299,7 +320,7 @@
 	json_decref(after);
 }
 
-/* A change that is broken leaves what was in force whole. */
+/* Malformed changes must leave the configuration in force unchanged. */
 static void test_malformed_changes(void)
 {
 	static const char *const texts[] = {
@@ -364,7 +385,10 @@
 	return n;
 }
 
-/* A configuration that cannot be used must not keep evacuations out. */
+/*
+ * A configuration that cannot be used must not keep evacuations from coming
+ * into force.
+ */
 static void test_evacuation_after_unusable(void)
 {
 	static const char *const unusable[] = { "{\"version\":", "7",
@@ -374,7 +398,7 @@
 	GLogLevelFlags fatal;
 	uint32_t i;
 
-	/* What cannot be used may be warned of. */
+	/* Warnings of unusable configurations are expected. */
 	fatal = g_log_set_always_fatal(G_LOG_FATAL_MASK | G_LOG_LEVEL_CRITICAL);
 	for (i = 0; i < G_N_ELEMENTS(unusable); i++) {
 		struct published p;
@@ -397,7 +421,10 @@
 	json_decref(record);
 }
 
-/* A usable configuration that is not in force yet outlives an unusable one. */
+/*
+ * A usable configuration that is not in force yet must be kept when an unusable
+ * one follows.
+ */
 static void test_unusable_before_in_force(void)
 {
 	json_t *record = operators_record(5, many_rules(3));
@@ -434,7 +461,10 @@
 			 "name", "records", "classes", classes, "data_centres");
 }
 
-/* No number of routes that go makes a record that the store refuses. */
+/*
+ * However many routes are removed at once, the record must not be so long that
+ * the store refuses it.
+ */
 static void test_removal_within_a_record(void)
 {
 	GRand *rand = g_rand_new_with_seed(28);
