--- a/t/test-readers.c
+++ b/t/test-readers.c
@@ -1,7 +1,7 @@
 #include "node/read-plan.h"
 #include "t/sim.h"
 
-/* Who reads the log, and how what is read there reaches the rest. */
+/* Which nodes read the log, and how the records reach the other nodes. */
 
 #define N_LOG_READERS 2
 #define N_RECORDS 20
@@ -28,7 +28,10 @@
 	sim_append(s, json_pack("{s:s}", "type", "padding"));
 }
 
-/* Whether all that run have applied what is in the log now, within a time. */
+/*
+ * Runs for within_ms and returns whether all running nodes have applied what
+ * was in the log at the beginning.
+ */
 static bool all_apply(struct sim *s, int64_t within_ms)
 {
 	int64_t end = s->log->len - 1;
@@ -41,7 +44,7 @@
 	return true;
 }
 
-/* Each record is read by two, however many pass it on. */
+/* Two nodes read each record from the log, however many relay it. */
 static void test_two_readers_for_fleet(void)
 {
 	uint32_t seed, i;
@@ -62,7 +65,7 @@
 	}
 }
 
-/* Those who read for all cannot reach the log, and nobody says so. */
+/* The log readers cannot reach the log, and do not report it. */
 static void test_log_readers_cut_off(void)
 {
 	uint32_t seed, i;
@@ -81,7 +84,7 @@
 	}
 }
 
-/* Those who read for all are killed at the same time. */
+/* The log readers are killed at the same time. */
 static void test_log_readers_killed(void)
 {
 	uint32_t seed, i;
@@ -99,7 +102,7 @@
 	}
 }
 
-/* Those who are told that there is no news do not look for it. */
+/* Nodes that are told that there are no new records rarely read the log. */
 static void test_notified_nodes_read_rarely(void)
 {
 	uint64_t looks_before[SIM_NODES];
@@ -118,7 +121,10 @@
 	sim_finish(&s);
 }
 
-/* All who pass records on are cut off from the log: the rest look themselves. */
+/*
+ * The log readers and all relays are cut off from the log: the other nodes must
+ * read it themselves.
+ */
 static void test_all_relays_cut_off(void)
 {
 	uint32_t seed, i;
@@ -142,7 +148,7 @@
 	}
 }
 
-/* A fleet that starts reads little until each has joined. */
+/* The nodes of a fleet that starts must read little until they have joined. */
 static void test_joining_node_reads_little(void)
 {
 	struct read_plan p;
@@ -168,7 +174,10 @@
 	sim_finish(&s);
 }
 
-/* Where the log is the witness, a lease must outlast several reads. */
+/*
+ * A member whose witness is the log must read so often that its lease outlasts
+ * several reads.
+ */
 static void test_log_as_witness_is_read_often(void)
 {
 	struct witness_set log = { .n = 1, .id = { LOG_WITNESS } };
--- a/t/test-recovery.c
+++ b/t/test-recovery.c
@@ -3,11 +3,14 @@
 #include "util/result.h"
 
 /*
- * What becomes of keys whose backend servers hold them by grants, when
- * processes are killed beside them.
+ * What happens to keys that backend servers hold by grants when the processes
+ * of their nodes are killed.
  */
 
-/* A fleet whose servers hold by grants, at rest for a while. */
+/*
+ * A fleet whose backend servers hold shards by grants, run for settle_ms after
+ * it has converged.
+ */
 static void start_granted(struct sim *s, uint32_t seed, uint32_t rules,
 			  int64_t settle_ms)
 {
@@ -28,12 +31,15 @@
 	sv = fleet_service(sim_newest(&s), "records");
 	owner = sim_slot(&s, sv->shards[0].owner);
 	successor = sim_slot(&s, sv->shards[0].successor);
-	/* The heir takes over, and the log does not hear of it. */
+	/* The successor takes over while the log is down. */
 	s.log_down_until = s.now + 100000;
 	sim_kill(&s, owner);
 	sim_run(&s, 8000);
 	g_assert_cmpint(sim_server(&s, 0), ==, successor);
-	/* Both are back; the heir's server reports before the log is read. */
+	/*
+	 * Both start again. The successor's server sends a heartbeat before the
+	 * node has read the log.
+	 */
 	s.log_down_until = 0;
 	sim_kill(&s, successor);
 	sim_start(&s, successor);
@@ -51,10 +57,11 @@
 }
 
 /*
- * An heir takes over a key while the log is away, and its process is killed
- * beside a server that goes on serving it. Then the owner is back and asks the
- * heir's new process, which knows of nothing it holds. Taken for free, the key
- * would be served by two servers.
+ * A successor takes over a key while the log is down. Then its process is
+ * killed while its backend server keeps serving the key. The owner starts again
+ * and sends a release request to the successor's new process, which does not
+ * know what its server holds. If that process answered that the key is free,
+ * two servers would serve it.
  */
 static void test_successor_restarts(void)
 {
@@ -91,7 +98,7 @@
 	sim_kill(&s, owner);
 	while (sim_server(&s, 0) != successor)
 		sim_step(&s);
-	/* Sent as the heir is killed, and carried out as its hold would end. */
+	/* Sent when the successor is killed, carried out when its hold ends. */
 	g_assert_true(member_holds(&nd->member, 0, &fence));
 	late.call.row.fence = fence;
 	late.call.hold_ms = 2200;
@@ -108,9 +115,11 @@
 }
 
 /*
- * An heir that has taken a key over is killed with a call in doubt. Its new
- * process asks the key back, its server says that it is free, the owner that is
- * back takes it, and then the heir's server carries the call out.
+ * A successor that has taken over a key is killed with a call in doubt. Its new
+ * process requests the release of the key, its server acknowledges that, and
+ * the restarted owner serves the key. Then the successor's server carries out
+ * the call in doubt. If the key had counted as free before that, two servers
+ * would serve it.
  */
 static void test_late_call(void)
 {
@@ -126,9 +135,10 @@
 }
 
 /*
- * Each change that every node read from the log itself would cost as many calls
- * as there are nodes. A few read, and the others must have it as soon. Reads
- * for one change by eight nodes: eight before, four now.
+ * If every node read each change from the log, a change would cost as many
+ * calls as there are nodes. A few nodes read it, and the others must get it as
+ * soon. Reads for one change by eight nodes: eight without relays, four with
+ * them.
  */
 static void test_records_are_relayed(void)
 {
@@ -150,7 +160,10 @@
 	sim_finish(&s);
 }
 
-/* The new process finds a snapshot in the log, and no record before it. */
+/*
+ * Restarts the process of a node while its backend server keeps running. The
+ * new process finds a snapshot in the log and no record before it.
+ */
 static void restart_node_beside_server(struct sim *s, int slot)
 {
 	struct sim_node *nd = &s->nodes[slot];
@@ -179,7 +192,9 @@
 	sim_append_move(&s, 0, x, sim_other_member(&s, a, x, 0));
 	restart_node_beside_server(&s, sim_slot(&s, a));
 	sim_run(&s, 200);
-	/* The first server holds on, and hears of nothing. */
+	/*
+	 * The previous owner's server keeps its holds and sends no heartbeat.
+	 */
 	s.nodes[s.top_slot[0]].backend.next_beat = s.now + 10000;
 	restart_node_beside_server(&s, sim_slot(&s, x));
 	sim_run(&s, 6000);
@@ -189,11 +204,11 @@
 }
 
 /*
- * A key moves, and its old owner's process is killed before it lets go, beside
- * a server that goes on serving it for the time granted. The new owner knows
- * when that was and waits; then its process is killed too. The next one finds
- * the records in the log, and not how old they are. Serving at once, it would
- * give the key a second server.
+ * A key moves, and the process of its previous owner is killed before it
+ * releases the key, while its backend server serves the key until its grant
+ * ends. The new owner knows when the key moved and waits; then its process is
+ * killed too. Its next process finds the records in the log but not how old
+ * they are. If it served the key at once, two servers would serve it.
  */
 static void test_unknown_record_age(void)
 {
@@ -208,18 +223,20 @@
 	g_assert_cmpuint(breaches_without_rule, >, 0);
 }
 
+/* Bits of the argument of test_all_killed(). */
+#define ALL_WITH_SERVERS 1 /* the backend servers stop as well */
+#define ALL_BY_CALL 2 /* the backend servers get grants by calls */
+#define ALL_TWICE 4 /* everything is killed twice */
+
 /*
  * Every process is killed at once, or every host loses power, and all start
- * again a second later, each naming its neighbours as witnesses by processes
- * that are gone. Callers find no owner for any key until leases are had again;
- * the users' bound for a key is three seconds. The second time the log tells of
- * the first, and is read before the server beside has been heard: taken for
- * news, the restarts in it would have every key wait for a lease's length.
+ * again a second later. The witnesses of each member are processes that no
+ * longer run, so no key has an owner until leases are granted again; the users'
+ * bound for a key is three seconds. When all are killed a second time, the log
+ * contains the restarts of the first time, and is read before the first
+ * heartbeat of the backend server. If those old restarts counted as new ones,
+ * every key would wait for the length of a lease.
  */
-#define ALL_WITH_SERVERS 1 /* the servers end as well */
-#define ALL_BY_CALL 2 /* they are told by calls what they hold */
-#define ALL_TWICE 4 /* and all of it for the second time */
-
 static void test_all_killed(gconstpointer data)
 {
 	uint32_t variant = GPOINTER_TO_UINT(data);
