--- a/t/test-route.c
+++ b/t/test-route.c
@@ -6,8 +6,8 @@
 #include "util/result.h"
 
 /*
- * In a bad minute every request fails once. Retries must stay a small part of
- * the load, or they keep the minute bad.
+ * For a while every request fails once. Retries must stay a small part of the
+ * load, or they would prolong the overload.
  */
 static void test_budget_bounds_retries(void)
 {
@@ -24,6 +24,7 @@
 	g_assert_cmpint(spent, >=, 90);
 }
 
+/* How often, in 1000 choices, the gate of that id is chosen. */
 static int count_picks(struct chooser *c, const struct gate_option *ids,
 		       uint32_t n, int64_t id, int64_t now)
 {
@@ -36,9 +37,9 @@
 }
 
 /*
- * A server does not hold the keys that its node thinks it does, and turns their
- * requests away. Each that is sent on to another server is a repeat, and a
- * storm of them would double the load of a service that is short already.
+ * A server does not hold keys that its node granted to it, and refuses requests
+ * for them. Each of these that is sent to another server is a retry; without a
+ * budget they would double the load of a service that is overloaded already.
  */
 static void test_misdirected_spends_budget(void)
 {
@@ -66,8 +67,8 @@
 
 struct expected {
 	enum attempt_event event;
-	struct plan_attempt unsent; /* what it makes of one that has not left */
-	struct plan_attempt sent; /* and of one that has */
+	struct plan_attempt unsent; /* after it, if not sent before */
+	struct plan_attempt sent; /* after it, if sent before */
 };
 
 #define OPEN(s)                                    \
@@ -121,7 +122,7 @@
 		if (p.attempts[1].open)
 			continue;
 		g_assert_cmpint(p.attempts[1].last_event, ==, table[i].event);
-		/* Nothing moves it any more. */
+		/* Further events do not change a closed attempt. */
 		closed = p.attempts[1];
 		for (j = 0; j < ATTEMPT_N_EVENTS; j++)
 			plan_attempt_event(&p, 1, j);
@@ -131,7 +132,10 @@
 	}
 }
 
-/* "Not run" of one attempt: it never left, or the gate or the server said so. */
+/*
+ * Whether an attempt certainly did not run: it was not sent, or the gate or the
+ * backend server refused it.
+ */
 static bool certainly_not_run(const struct plan_attempt *a)
 {
 	return a->state == ATTEMPT_NOT_SENT ||
@@ -140,7 +144,7 @@
 		 a->last_event == ATTEMPT_EVENT_SERVER_REFUSED));
 }
 
-/* Every two attempts, each after every two events. */
+/* All pairs of attempts, each after all pairs of events. */
 static void test_outcome_follows_from_attempts(void)
 {
 	const uint32_t n = ATTEMPT_N_EVENTS;
@@ -184,7 +188,7 @@
 	return plan_attempt_ended(p, p->tries - 1, why, &b, 0, now_ms);
 }
 
-/* A booking for a gate whose process has ended goes to another gate. */
+/* A booking for a gate whose process has stopped is sent to another gate. */
 static void test_unsent_attempt_is_retried(void)
 {
 	struct plan p = booking();
@@ -202,7 +206,7 @@
 	plan_add_attempt(&p);
 	g_assert_cmpint(end_attempt(&p, ATTEMPT_EVENT_TIMEOUT, 1000), ==,
 			PLAN_REFUSE);
-	/* With no gate in reach the caller is told so, not kept waiting. */
+	/* If no gate can be reached, the request is refused without waiting. */
 	p = booking();
 	for (n = 0; n < PLAN_MAX_TRIES && step == PLAN_SEND; n++) {
 		plan_add_attempt(&p);
@@ -212,7 +216,7 @@
 	g_assert_cmpuint(n, <=, 4);
 }
 
-/* Each way to an answer "may have run" has a cause of its own. */
+/* Each event after which a request may have run has its own cause. */
 static void test_causes(void)
 {
 	static const struct {
@@ -247,7 +251,7 @@
 			PLAN_CAUSE_lease_over);
 }
 
-/* Attempts beyond the table's room are not made. */
+/* Attempts beyond PLAN_MAX_TRIES are refused. */
 static void test_tries_are_bounded(void)
 {
 	struct plan p = { 0 };
@@ -259,8 +263,9 @@
 }
 
 /*
- * One backend server stalls. Its gate says nothing, so its last word still
- * sounds well; the age of what waits there must turn entries away.
+ * A backend server stalls. Its gate answers nothing, so the last load that it
+ * reported still looks good. The age of the requests without an answer must
+ * make entries avoid it.
  */
 static void test_stalled_gate_is_avoided(void)
 {
@@ -279,7 +284,9 @@
 	chooser_finish(&c);
 }
 
-/* All entries fleeing one gate must not meet at a single other one. */
+/*
+ * When all entries avoid one gate, they must not all choose the same other one.
+ */
 static void test_no_herd(void)
 {
 	struct gate_option ids[] = { { 1, 0 }, { 2, 0 }, { 3, 0 }, { 4, 0 } };
@@ -310,9 +317,9 @@
 }
 
 /*
- * Answers of a class are large and bytes between data centres dear. The gate
- * at home must get the requests, until it is so full that its caller would
- * wait longer than the bytes are worth.
+ * Answers of a class are large, and traffic between data centres is expensive.
+ * The gate in the entry's data centre must get the requests until it is so full
+ * that a caller would wait longer than the saved traffic is worth.
  */
 static void test_near_until_full(void)
 {
@@ -333,8 +340,9 @@
 }
 
 /*
- * A server joins, cold. Nothing is known of its gate yet, and entries that take
- * that for quick send it all they have.
+ * A server joins in cold start, and nothing is known of its gate yet. If
+ * entries took that for a low latency, they would send all their requests
+ * there.
  */
 static void test_unknown_gate_gets_few(void)
 {
@@ -353,9 +361,9 @@
 }
 
 /*
- * A node that stops refuses all work that needs no key, for seconds, and stays
- * listed meanwhile. With nothing to do it looks the quickest, so that each
- * request would spend one of its few offers there.
+ * A node that stops refuses all requests that need no key, for seconds, and is
+ * listed for that time. Since it is idle it looks like the fastest gate, so
+ * each request would spend one of its few attempts there.
  */
 static void test_stopping_gate_is_avoided(void)
 {
--- a/t/test-settings.c
+++ b/t/test-settings.c
@@ -6,6 +6,10 @@
 #include "settings/settings.h"
 #include "util/result.h"
 
+/*
+ * The number of problems in a configuration. Fails if the text of none contains
+ * "expected".
+ */
 static uint32_t count_problems(const char *text, const char *expected)
 {
 	struct configuration *cfg = g_new0(struct configuration, 1);
@@ -40,6 +44,7 @@
 	g_assert_cmpuint(count_problems("[]", "must be an object"), ==, 1);
 }
 
+/* Reads a configuration that must be valid. */
 static struct configuration *read_valid(const char *text)
 {
 	struct configuration *cfg = g_new0(struct configuration, 1);
@@ -88,8 +93,8 @@
 }
 
 /*
- * Two hosts have routes of the same path. A request must not go to the service
- * of the other host's, and a port in its Host header makes no difference.
+ * Two hosts have routes with the same path. A request must go to the service of
+ * its own host; a port in its Host header makes no difference.
  */
 static void test_match_by_host(void)
 {
@@ -129,8 +134,8 @@
 }
 
 /*
- * A setting that is allowed by name but never read does nothing, and nobody is
- * told. Each one given here must arrive.
+ * A setting that is allowed by name but never read has no effect, and no error
+ * is reported. Each one given here must be read.
  */
 static void test_settings_are_read(void)
 {
