--- a/t/test-schedules.c
+++ b/t/test-schedules.c
@@ -7,8 +7,9 @@
 #include "util/result.h"
 
 /*
- * Schedules that the randomised runs meet rarely, driven one by one: each shows
- * that a rule holds, and most that it is needed.
+ * Schedules of events that random runs rarely reach, each driven step by step.
+ * Each test shows that a safety rule holds, and most also show that it is
+ * needed.
  */
 
 static void start_settled(struct sim *s, uint32_t seed, uint32_t rules)
@@ -42,6 +43,7 @@
 	return 0;
 }
 
+/* For 20 seconds the process gets no records. */
 static void delay_records(struct sim *s, int64_t process)
 {
 	int slot = sim_slot_of_process(s, process);
@@ -51,8 +53,9 @@
 }
 
 /*
- * A move that neither the old successor nor the owner's witnesses hear of,
- * while the owner and the new owner do; then the owner dies.
+ * A move that the owner and the new owner read, but neither the previous
+ * successor nor the owner's witnesses do; then the owner is killed. Returns the
+ * number of breaches.
  */
 static uint64_t unread_move(uint32_t seed, uint32_t rules)
 {
@@ -96,9 +99,9 @@
 }
 
 /*
- * An owner releases a shard and dies before its witnesses heard of the move.
- * Their promises then let the old successor, which has not heard either, serve
- * a key that the new owner serves.
+ * An owner releases a shard and is killed before its witnesses have read the
+ * move. Their promises would then let the previous successor, which has not
+ * read it either, serve a key that the new owner serves.
  */
 static void test_unread_move(void)
 {
@@ -114,8 +117,9 @@
 }
 
 /*
- * A record that names another heir and leaves the owner, which neither the heir
- * before nor the owner's witnesses hear of; then the owner dies.
+ * A record that names another successor and keeps the owner, and that neither
+ * the previous successor nor the owner's witnesses read; then the owner is
+ * killed. Returns the number of fence breaches.
  */
 static uint64_t unread_successor(uint32_t seed, uint32_t rules)
 {
@@ -154,9 +158,9 @@
 
 /*
  * An owner serves a key under the fence of a record that only it has read, and
- * dies. The heir named before it takes over, rightly, under a fence below that:
- * a backend server that checks fences would take late work of the dead owner
- * for newer than its own.
+ * is killed. The successor named before takes over correctly, but under a lower
+ * fence. A backend server that checks fences would then take late work of the
+ * killed owner for newer than the successor's.
  */
 static void test_unread_successor(void)
 {
@@ -208,9 +212,9 @@
 }
 
 /*
- * A shard moves while its old successor gets no records. Then the old owner
- * dies. The successor still believes that the shard is its to inherit, and a
- * user would find two servers answering for the key.
+ * A shard moves while its previous successor gets no records. Then the previous
+ * owner is killed. By the state that the previous successor has, it must take
+ * the shard over; if it did, two servers would serve the key.
  */
 static void test_stale_successor(void)
 {
@@ -264,9 +268,9 @@
 }
 
 /*
- * A shard leaves, comes back and leaves again while one slow request on it
- * still runs. Told that nobody serves it, the next owner would run a second
- * request beside the slow one.
+ * A shard moves away, back and away again while one slow request on it is still
+ * running. If the next owner were told that no node serves the shard, it would
+ * run a second request beside the slow one.
  */
 static void test_shard_moves_repeatedly(void)
 {
@@ -281,7 +285,7 @@
 	g_assert_cmpuint(breaches_without_rule, >, 0);
 }
 
-/* Runs until the log names b as the owner of shard 0, and b serves it. */
+/* Moves shard 0 to b and runs until b serves it. */
 static void move_and_serve(struct sim *s, int64_t b, int64_t successor)
 {
 	int64_t end = s->now + 5000;
@@ -292,8 +296,10 @@
 	g_assert_cmpint(sim_server(s, 0), ==, sim_slot(s, b));
 }
 
-/* An owner is named another heir after it took a shard, and before it settled
- * that. */
+/*
+ * A shard gets another successor after its new owner has taken it, and before
+ * the new owner has settled the move.
+ */
 static void test_successor_before_settling(void)
 {
 	uint32_t seed;
@@ -358,12 +364,12 @@
 		if (p != m.process && !witness_set_has(&m.witnesses, p))
 			spare = p;
 	}
-	/* The first witness promises a stop and is replaced. */
+	/* The first witness promises to stop vouching, and is replaced. */
 	sim_cut(&s, a, sim_slot_of_process(&s, v[0]), 1800);
 	sim_run(&s, 1900);
 	m = *fleet_member(sim_newest(&s), id);
 	set_witnesses(&s, &m, (int64_t[]){ v[1], v[2], spare });
-	/* Taken back, it must still keep its promise. */
+	/* When it is named again, it must still keep its promise. */
 	m = *fleet_member(sim_newest(&s), id);
 	set_witnesses(&s, &m, (int64_t[]){ v[1], v[2], v[0] });
 	sim_cut(&s, a, sim_slot_of_process(&s, v[2]), 5000);
@@ -374,7 +380,7 @@
 	return breaches;
 }
 
-/* Three processes that are no witnesses of m, nor m itself. */
+/* Sets ids to three processes that are neither witnesses of m nor its own. */
 static void other_witnesses(struct sim *s, const struct member *m, int64_t *ids)
 {
 	uint32_t i, n = 0;
@@ -387,7 +393,10 @@
 	}
 }
 
-/* Most of the witnesses that a member changes to end before they have vouched. */
+/*
+ * Most of the witnesses that a member changes to are killed before they have
+ * vouched for it.
+ */
 static void test_new_witnesses_killed(void)
 {
 	uint32_t seed;
@@ -418,9 +427,9 @@
 }
 
 /*
- * A member's witnesses change, as they do whenever one of their hosts restarts.
- * The new ones have not vouched yet. If that ended the lease until they are
- * next asked, each restart of a host would leave the keys of its neighbours
+ * The witnesses of a member change whenever one of their hosts restarts, and
+ * the new ones have not vouched yet. If the lease ended until the next vouch
+ * request, each restart of a host would leave the keys of its neighbours
  * without an owner for up to half a second.
  */
 static void test_new_witnesses_keep_lease(void)
@@ -446,6 +455,7 @@
 	}
 }
 
+/* Whether the last record settles a change of the member's witnesses. */
 static bool last_record_settles(struct sim *s, int64_t member)
 {
 	struct sim_log_record *r = g_ptr_array_index(s->log, s->log->len - 1);
@@ -502,10 +512,10 @@
 }
 
 /*
- * A member sends the record that settles a change of its witnesses, and does
- * not read it: others count its new witnesses alone by then. Cut off from those
- * and in touch with the old ones, it must lose its lease, or it serves its keys
- * beside its heirs.
+ * A member appends the record that settles a change of its witnesses, but does
+ * not read it. From then on the others count only its new witnesses. If it is
+ * cut off from those and connected to the previous ones, it must lose its
+ * lease; otherwise it would serve its keys while its successors do.
  */
 static void test_unread_settle(void)
 {
@@ -521,8 +531,9 @@
 }
 
 /*
- * A member's witness was the log, which it has just read, and those that follow
- * vouched for it half a second ago. Requests run under the longer lease.
+ * The witness of a member was the log, which it has just read; its new
+ * witnesses vouched for it half a second ago. Settling must not shorten the
+ * lease, since requests run under the longer one.
  */
 static void test_settle_keeps_lease(void)
 {
@@ -562,9 +573,9 @@
 }
 
 /*
- * A witness gives up on a member, is replaced and later taken back, while the
- * member's heirs still hold its promise. Vouching again, it would let owner
- * and heir serve the same key.
+ * A witness stops vouching for a member, is replaced and later named again,
+ * while the member's successors still hold its promise. If it vouched again,
+ * the owner and a successor could serve the same key.
  */
 static void test_returning_witness(void)
 {
@@ -580,9 +591,9 @@
 }
 
 /*
- * An owner whose server is full gives ranges away. The balancer, which looks
- * once a second for something to do, must not make it wait its turn: the giving
- * was let through once in twenty tries, and the server stayed full.
+ * An owner whose backend server is full moves shards to another member. The
+ * balancer, which runs once a second, must not delay that: when it did, one
+ * move in twenty was made, and the server stayed full.
  */
 static void test_move_is_not_delayed(void)
 {
@@ -607,10 +618,11 @@
 }
 
 /*
- * Operators publish in quick succession while the nodes that would bring it
- * into the log first are gone. The next in turn must count its wait from the
- * first change that is not in force, not from each new one: it would wait as
- * long as they go on, and callers be served by a configuration long replaced.
+ * Operators publish in quick succession while the nodes that would append the
+ * changes first are down. The next in rank must count its wait from the first
+ * change that is not in force, not from each new one. Otherwise it would wait
+ * for as long as operators publish, and callers would be served by an outdated
+ * configuration.
  */
 static void test_published_in_quick_succession(void)
 {
@@ -643,7 +655,10 @@
 	sim_finish(&s);
 }
 
-/* What is in force and n routes more, as operators' version n. */
+/*
+ * The document in force with n more routes, as the given version of the
+ * operators.
+ */
 static json_t *with_more_routes(const struct fleet *f, int version, uint32_t n)
 {
 	json_t *doc = json_deep_copy(f->document);
@@ -671,8 +686,9 @@
 }
 
 /*
- * Who proposes part of a change dies, and the next in turn has read less of
- * what operators published: the part that is in force must not go back.
+ * A node is killed after it has appended part of a change, and the next in rank
+ * has read less of the operators' stream. The part that is in force must not be
+ * reverted.
  */
 static void test_partial_change_is_not_reverted(void)
 {
@@ -701,8 +717,9 @@
 }
 
 /*
- * Who proposes part of a change dies, and had read a record more that changes
- * nothing: the others have all that matters, and the rest must follow.
+ * A node is killed after it has appended part of a change. It had read one more
+ * record of the operators' stream than the others, which changes nothing. The
+ * others have all of the change and must append the rest.
  */
 static void test_partial_change_is_completed(void)
 {
@@ -724,7 +741,10 @@
 	sim_finish(&s);
 }
 
-/* A writer may read its record before it has the answer to its append. */
+/*
+ * A node may read its own record before it gets the answer to its append. The
+ * next part must not be delayed by that.
+ */
 static void test_next_part_is_not_delayed(void)
 {
 	struct sim s;
@@ -753,10 +773,11 @@
 }
 
 /*
- * A member's witnesses are changed to the log, and it has not read of that: it
- * serves on by the three that it had, and says nothing to the log. Others who
- * have read the record find it silent. Expelled for that, it would go on
- * serving its keys beside those who took them over.
+ * The witnesses of a member are changed to the log, and the member has not read
+ * that record: its lease still comes from its three previous witnesses, and it
+ * appends nothing to the log. Members that have read the record find no sign of
+ * it in the log. If they expelled it for that, it would go on serving its keys
+ * while the new owners serve them.
  */
 static void test_unread_change_to_the_log(void)
 {
