--- a/t/test-start.c
+++ b/t/test-start.c
@@ -2,9 +2,12 @@
 #include "t/sim.h"
 #include "util/result.h"
 
-/* What a process may take for level with the fleet when it has just started. */
+/*
+ * Processes that have just started: when they count as caught up with the
+ * fleet, and how they append snapshots and changes.
+ */
 
-/* Apply the first records of the log to a node that cannot read it. */
+/* Applies the first records of the log to a node that cannot read it. */
 static void apply_first_records(struct sim *s, uint32_t slot, uint32_t count)
 {
 	struct sim_node *nd = &s->nodes[slot];
@@ -18,7 +21,7 @@
 	}
 }
 
-/* The process of slot asks the one of peer for all that it has. */
+/* The process of slot requests from the process of peer all that it has. */
 static void request_records(struct sim *s, uint32_t slot, uint32_t peer)
 {
 	struct sim_node *nd = &s->nodes[peer];
@@ -35,7 +38,10 @@
 	sim_run(s, 200);
 }
 
-/* A process that is level with one in the middle of its log is not current. */
+/*
+ * A process that has caught up only with a peer that has applied part of the
+ * log must not count as current.
+ */
 static void test_peer_not_caught_up(void)
 {
 	struct sim s;
@@ -65,7 +71,10 @@
 	sim_finish(&s);
 }
 
-/* A process that has nothing is handed the state, not each record since then. */
+/*
+ * A process without state gets the state from a peer, not each record that led
+ * to it.
+ */
 static void test_state_sent_as_snapshot(void)
 {
 	struct sim s;
@@ -83,7 +92,10 @@
 	sim_finish(&s);
 }
 
-/* Another's record comes before a part of a snapshot: the rest still follows. */
+/*
+ * Another member's record is appended before a part of a snapshot: the part
+ * must be appended again, and the rest after it.
+ */
 static void test_snapshot_after_conflict(void)
 {
 	struct member_node *n;
@@ -124,7 +136,10 @@
 	return count;
 }
 
-/* Who comes second with a snapshot leaves it to the one who was first. */
+/*
+ * When another member's snapshot is in the log first, a member discards its
+ * own.
+ */
 static void test_one_snapshot_at_a_time(void)
 {
 	struct member_node *n;
@@ -149,12 +164,13 @@
 	sim_finish(&s);
 }
 
-/* Records after which the newest snapshot would be overwritten in the store. */
+/* The store overwrites the newest snapshot after this many records. */
 #define LOG_CAPACITY 256
 
 /*
- * Who would write the snapshot cannot reach the log, and records go on: another
- * must write it before the one that there is has been overwritten.
+ * The member that would write the snapshot cannot reach the log, and more
+ * records are appended: another must write one before the store overwrites the
+ * newest snapshot.
  */
 static void test_next_node_writes_snapshot(void)
 {
@@ -181,7 +197,7 @@
 	sim_finish(&s);
 }
 
-/* The snapshot that a process begins with need not be written once more. */
+/* The snapshot that a process starts from need not be written again. */
 static void test_loaded_snapshot_counts(void)
 {
 	const struct fleet *f;
@@ -204,7 +220,7 @@
 	f = &s.nodes[1].member.fleet;
 	g_assert_cmpint(f->applied, >, LOG_CAPACITY);
 	g_assert_cmpint(f->applied - f->snapshot_upto, <, 60);
-	/* Nor one that it hears of from a peer. */
+	/* Nor one that it learns of from a peer. */
 	sim_kill(&s, 1);
 	sim_start(&s, 1);
 	s.nodes[1].log_cut = true;
@@ -214,7 +230,10 @@
 	sim_finish(&s);
 }
 
-/* Eighty processes that start at once and retry at once leave no one room. */
+/*
+ * Eighty processes that start at once and retry at once would prevent each
+ * other's appends, so conflicts in a row must lengthen the delay.
+ */
 static void test_conflicts_back_off(void)
 {
 	struct member_node *n;
@@ -237,7 +256,10 @@
 	sim_finish(&s);
 }
 
-/* While others append, a long part that must come at the end is sent seldom. */
+/*
+ * A part of a snapshot is long and must come at the log's end. While others
+ * append, it must be retried rarely.
+ */
 static void test_snapshot_backs_off(void)
 {
 	struct member_node *n;
@@ -257,7 +279,10 @@
 	sim_finish(&s);
 }
 
-/* After the store was away all append at once, and a configuration is urgent. */
+/*
+ * After an outage of the store all nodes append at once. A configuration is
+ * urgent, so conflicts in a row must not lengthen its delay.
+ */
 static void test_published_is_retried_at_once(void)
 {
 	struct member_node *n;
@@ -278,7 +303,10 @@
 	sim_finish(&s);
 }
 
-/* Who is level needs no snapshot, and would have to read it for being long. */
+/*
+ * Members that are caught up need no snapshot. If its data were relayed, the
+ * record would be so long that they would have to read it from the log.
+ */
 static void test_snapshot_is_not_relayed(void)
 {
 	const struct cached_record *c;
@@ -304,7 +332,10 @@
 	sim_finish(&s);
 }
 
-/* A long configuration is passed on as well, or each host reads it itself. */
+/*
+ * A long configuration must be relayed too, or each host would read it from the
+ * log itself.
+ */
 static void test_long_record_is_relayed(void)
 {
 	GString *text = g_string_new(NULL);
@@ -329,7 +360,7 @@
 	sim_finish(&s);
 }
 
-/* Few hosts of a large fleet fetch what operators publish, however long it is. */
+/* Few hosts of a large fleet read the operators' stream, however long it is. */
 static void test_few_read_operators(void)
 {
 	struct member_node *n;
--- a/t/test-state.c
+++ b/t/test-state.c
@@ -78,7 +78,7 @@
 
 /*
  * Two operators publish from the same version. The one whose record comes
- * second must be told of the conflict and must not undo the first.
+ * second must get a conflict and must not undo the first.
  */
 static void test_operators_race(void)
 {
@@ -93,8 +93,8 @@
 }
 
 /*
- * An answer of the log is lost after the write, and the writer appends again.
- * Applied twice, the join would throw out the member that it made.
+ * The answer to an append is lost after the write, and the writer appends
+ * again. Applied twice, the join would remove the member that it created.
  */
 static void test_duplicate_append_is_ignored(void)
 {
@@ -114,7 +114,7 @@
 
 /*
  * The owner is proved to have stopped. Its shards must go to the successors
- * named before, who may serve them already, and to nobody else.
+ * named before, which may serve them already, and to no other member.
  */
 static void test_successor_inherits(void)
 {
@@ -139,8 +139,9 @@
 }
 
 /*
- * A data centre is taken out and the log goes down right after. The one record
- * already says where each shard goes; nothing more need be appended.
+ * A data centre is taken out of service, and the log goes down right after.
+ * That one record must determine where each shard goes, so that no further
+ * append is needed.
  */
 static void test_data_centre_out_moves_shards(void)
 {
@@ -154,9 +155,9 @@
 }
 
 /*
- * The data centre goes out while moves into it are not settled, and the log is
- * down from then on. Shards left behind would keep it in service for as long
- * as the log is away.
+ * A data centre is taken out of service while moves into it are not settled,
+ * and the log is down from then on. Shards left there would keep it in service
+ * for as long as the log is down.
  */
 static void test_data_centre_out_unsettled(void)
 {
@@ -203,7 +204,7 @@
 	set_up(&f);
 	r = assign_balance(&f, &f.services[0], 100);
 	g_assert_nonnull(r);
-	/* 8, 0, 0 becomes 2, 3, 3 or the like: five or six moves. */
+	/* 8, 0, 0 becomes 2, 3, 3 or similar: five or six moves. */
 	g_assert_cmpuint(json_array_size(json_object_get(r, "items")), <=, 6);
 	g_assert_cmpint(fleet_apply(&f, 4, "", r), ==, RESULT_OK);
 	g_assert_null(assign_balance(&f, &f.services[0], 100));
@@ -211,7 +212,10 @@
 	fleet_finish(&f);
 }
 
-/* Nodes that start from a snapshot must agree with those that did not. */
+/*
+ * Nodes that start from a snapshot must have the same state as those that
+ * applied all records.
+ */
 static void test_snapshot_is_complete(void)
 {
 	struct fleet f, g;
@@ -224,7 +228,7 @@
 	g_assert_cmpint(fleet_load_snapshot(&g, a), ==, RESULT_OK);
 	b = fleet_snapshot(&g);
 	g_assert_true(json_equal(a, b));
-	/* An older one must not take the place of a newer state. */
+	/* An older one must not replace a newer state. */
 	json_object_set_new(a, "applied", json_integer(1));
 	g_assert_cmpint(fleet_load_snapshot(&g, a), ==, RESULT_STALE);
 	json_decref(a);
@@ -233,7 +237,7 @@
 	fleet_finish(&g);
 }
 
-/* A record that is no use to anybody must not end the process. */
+/* A malformed record must not end the process. */
 static void test_malformed_records(void)
 {
 	static const char *const texts[] = {
@@ -265,8 +269,9 @@
 
 /*
  * A node that is behind finds a member silent whose witness was the log, and
- * appends its expulsion after the member has settled on other witnesses. Taken
- * for proved, it would give the shards away while the member serves them.
+ * appends its expulsion after the member has settled on other witnesses. If
+ * that counted as proof that the member stopped, its shards would go to others
+ * while it serves them.
  */
 static void test_expulsion_by_old_witnesses(void)
 {
@@ -302,7 +307,10 @@
 	fleet_finish(&f);
 }
 
-/* Runs of neighbouring shards with one owner: a row each for its server. */
+/*
+ * Ranges of neighbouring shards with one owner. Each is a row in the answers to
+ * its server's heartbeats.
+ */
 static uint32_t count_rows(struct fleet *f)
 {
 	const struct fleet_service *s = &f->services[0];
@@ -324,11 +332,12 @@
 }
 
 /*
- * Two of four servers are taken away, one after the other. Heirs picked one by
- * one for neighbours alternate, and what is left to two servers falls into so
- * many rows that the answer to a heartbeat cannot name them all: callers find
- * most keys without an owner for the rest of the day. Rows: 222 before, 64
- * after.
+ * Two of four servers are removed, one after the other. If successors of
+ * neighbouring shards were chosen one by one, they would alternate, and the
+ * shards of the other two servers would fall into so many rows that the answer
+ * to a heartbeat has no room for them all: callers would find most keys without
+ * an owner for the rest of the day. With that choice there were 222 rows,
+ * without it there are 64.
  */
 static void test_losses_leave_few_rows(void)
 {
@@ -358,7 +367,10 @@
 	fleet_finish(&f);
 }
 
-/* A change that cannot be used must not hold up who waits for it. */
+/*
+ * A change that cannot be used must still advance source_offset, or nodes would
+ * wait for it.
+ */
 static void test_unusable_change(void)
 {
 	json_t *changes = json_pack("{s:{s:s},s:[],s:[]}", "set", "services",
@@ -399,7 +411,10 @@
 	return applied;
 }
 
-/* Older snapshots, torn ones and rubbish are no reason to replay for long. */
+/*
+ * Older, incomplete or malformed snapshots must not cause a long replay: the
+ * newest usable snapshot is found.
+ */
 static void test_newest_snapshot(void)
 {
 	struct log_scan s;
