--- a/t/test-schedules.c
+++ b/t/test-schedules.c
@@ -213,8 +213,8 @@
 
 /*
  * A shard moves while its previous successor gets no records. Then the previous
- * owner is killed. By the state that the previous successor has, it must take
- * the shard over; if it did, two servers would serve the key.
+ * owner is killed. The previous successor has not read the move and would take
+ * the shard over; two servers would then serve the key.
  */
 static void test_stale_successor(void)
 {
@@ -775,9 +775,9 @@
 /*
  * The witnesses of a member are changed to the log, and the member has not read
  * that record: its lease still comes from its three previous witnesses, and it
- * appends nothing to the log. Members that have read the record find no sign of
- * it in the log. If they expelled it for that, it would go on serving its keys
- * while the new owners serve them.
+ * appends nothing to the log. Members that have read the record find nothing
+ * from that member in the log. If they expelled it for that, it would go on
+ * serving its keys while the new owners serve them.
  */
 static void test_unread_change_to_the_log(void)
 {
