--- a/t/test-gate.c
+++ b/t/test-gate.c
@@ -12,10 +12,10 @@
 #include "util/result.h"
 
 /*
- * A server in cold start falls over under full load. The gate must begin with
- * a request or two and take its time.
+ * A backend server in cold start crashes under full load, so the limit must
+ * start with one or two requests and rise to all slots over several seconds.
  */
-static void test_limit_starts_cold(void)
+static void test_limit_slow_start(void)
 {
 	struct limit l;
 	int64_t now;
@@ -38,10 +38,11 @@
 }
 
 /*
- * A server turns cold again without a word: answers become many times slower.
- * Full load would keep it down, so the gate begins again from a few.
+ * A backend server can return to cold start without reporting it; its answers
+ * then take many times longer. Full load would keep it in that state, so the
+ * slow start must begin again.
  */
-static void test_limit_notices_cold(void)
+static void test_limit_restarts_slow_start(void)
 {
 	struct limit l;
 	int64_t now;
@@ -58,10 +59,11 @@
 }
 
 /*
- * A neighbour that nobody sees stalls the server for a moment; all that was in
- * flight comes back late together. That must not cost a whole cold start.
+ * Load that the gate does not see can stall the backend server for a moment;
+ * then all requests in flight are answered late together. LIMIT_INITIAL applies
+ * until the next good answer, but a new slow start must not follow.
  */
-static void test_limit_forgives_a_stall(void)
+static void test_limit_recovers_after_stall(void)
 {
 	struct limit l;
 	int64_t now;
@@ -84,7 +86,7 @@
 	g_assert_cmpuint(l.n_cold_starts, ==, 0);
 }
 
-static void test_limit_follows_shedding(void)
+static void test_limit_halves_on_shedding(void)
 {
 	struct limit l;
 	int64_t now;
@@ -125,8 +127,8 @@
 }
 
 /*
- * Under overload something must be refused. The class that may be refused
- * gives way to the one that may not, whoever came first.
+ * Under overload a request must be refused. It must be of a class with a
+ * refusal target above 0, even if it arrived before a request of another class.
  */
 static void test_queue_refuses_by_target(void)
 {
@@ -166,7 +168,10 @@
 	in.due_ms = 9000;
 	in.deadline_ms = 10000;
 	g_assert_true(queue_can_finish_in_time(&q, 0, &in, 2, 2));
-	/* In time for its caller, and too late for its target by waiting. */
+	/*
+	 * It would meet its deadline, but waiting would make it miss its
+	 * target.
+	 */
 	in.due_ms = 300;
 	g_assert_false(queue_can_finish_in_time(&q, 0, &in, 2, 2));
 	in.due_ms = 9000;
@@ -176,9 +181,9 @@
 }
 
 /*
- * A server works on long requests of one class and short ones of another. A
- * short one with less time left than the long ones take is still good for an
- * answer; refused, its caller's own request fails with it.
+ * The server works on long requests of one class and short ones of another. A
+ * short request with less time left than a long one takes can still be answered
+ * in time. If it were refused, the request of its caller would fail too.
  */
 static void test_queue_short_among_long(void)
 {
@@ -200,7 +205,10 @@
 	queue_finish(&q);
 }
 
-/* A caller that got no answer sends again; the booking must not run twice. */
+/*
+ * A caller that gets no answer retries with the same id. The id must still be
+ * in the table, so that the booking does not run twice.
+ */
 static void test_ids_repeat(void)
 {
 	struct ids t;
@@ -216,8 +224,8 @@
 }
 
 /*
- * More ids come than there is room for. Forgetting the oldest would let it
- * run again; the new one is refused instead.
+ * When the table is full, a new id is refused. If the oldest id were evicted
+ * instead, a retry of that request would run it again.
  */
 static void test_ids_full(void)
 {
@@ -233,8 +241,8 @@
 }
 
 /*
- * A shard moves while a booking on it has an uncertain end. The next owner
- * must know the id, or a resend there would run it again.
+ * A shard moves while the outcome of a booking on it is unknown. The next owner
+ * must get the id, or a retry there would run the booking again.
  */
 static void test_ids_move(void)
 {
@@ -258,7 +266,7 @@
 	ids_finish(&b);
 }
 
-static void test_ids_made(void)
+static void test_ids_creation_time(void)
 {
 	g_assert_cmpint(ids_created_ms("017f22e2-79b0-7cc3-98c4-dc0c0c07398f"),
 			==, 0x017f22e279b0);
@@ -267,7 +275,11 @@
 	g_assert_cmpint(ids_created_ms("booking-1"), ==, -1);
 }
 
-static uint32_t sent_in(struct cold_start *c, int64_t from, int64_t to)
+/*
+ * The number of requests that the rate limit allows from "from" until before
+ * "to", sent as early as possible.
+ */
+static uint32_t count_sent(struct cold_start *c, int64_t from, int64_t to)
 {
 	uint32_t n = 0;
 	int64_t now;
@@ -281,25 +293,28 @@
 }
 
 /*
- * A node and its backend server start together after a loss of power, and the
- * server's first heartbeat comes before the node has read a configuration.
- * Taken for a server that bears anything, it would get its full load cold and
- * fall over.
+ * A node and its backend server start together after a power loss, and the
+ * backend server's first heartbeat arrives before the node has read a
+ * configuration. If the rate were unlimited until then, the cold backend server
+ * would get its full load and crash.
  */
-static void test_cold_before_configuration(void)
+static void test_cold_start_before_configuration(void)
 {
 	struct cold_start c;
 
 	cold_start_init(&c, 0);
 	cold_start_set_remaining(&c, 3000, 0);
-	g_assert_cmpuint(sent_in(&c, 0, 1000), ==, 0);
-	g_assert_cmpuint(sent_in(&c, 1000, 2000), <=, 5);
+	g_assert_cmpuint(count_sent(&c, 0, 1000), ==, 0);
+	g_assert_cmpuint(count_sent(&c, 1000, 2000), <=, 5);
 	cold_start_set_rate(&c, 25);
-	g_assert_cmpuint(sent_in(&c, 2000, 2900), <=, 25);
+	g_assert_cmpuint(count_sent(&c, 2000, 2900), <=, 25);
 }
 
-/* In any second, not only in those that begin on the full, it stays below. */
-static void test_cold_sliding(void)
+/*
+ * The rate must hold in every period of one second, not only in periods that
+ * begin on a full second.
+ */
+static void test_cold_start_sliding_window(void)
 {
 	struct cold_start c;
 	uint32_t first, second;
@@ -307,15 +322,16 @@
 	cold_start_init(&c, 0);
 	cold_start_set_rate(&c, 20);
 	cold_start_set_remaining(&c, 60000, 0);
-	first = sent_in(&c, 1000, 1500);
-	second = sent_in(&c, 1500, 2000);
+	first = count_sent(&c, 1000, 1500);
+	second = count_sent(&c, 1500, 2000);
 	g_assert_cmpuint(first, >, 0);
 	g_assert_cmpuint(first + second, <=, 20);
 	cold_start_set_remaining(&c, 0, 2000);
-	g_assert_cmpuint(sent_in(&c, 2000, 2002), ==, 100000);
+	g_assert_cmpuint(count_sent(&c, 2000, 2002), ==, 100000);
 }
 
-static void learn_two(struct queue *q, double short_ms, double long_ms)
+/* Sets up a queue with two classes whose usual service times are known. */
+static void init_two_classes(struct queue *q, double short_ms, double long_ms)
 {
 	queue_init(q, 4);
 	queue_set_classes(q, 2);
@@ -324,9 +340,9 @@
 }
 
 /*
- * A server that has more to do than it can. In the order of their targets the
- * long requests of before would go ahead of short ones that others wait for,
- * and fewer of all would be served.
+ * The server gets more work than it can do. In the order of their targets
+ * alone, long requests that arrived earlier would run before short ones that
+ * other requests wait for, and fewer requests would be answered in total.
  */
 static void test_queue_shortest_first(void)
 {
@@ -334,7 +350,7 @@
 	struct queued out;
 	struct queue q;
 
-	learn_two(&q, 15, 110);
+	init_two_classes(&q, 15, 110);
 	in.class_index = 1;
 	in.due_ms = 50;
 	g_assert_null(queue_push(&q, &in));
@@ -351,16 +367,16 @@
 }
 
 /*
- * A long queue of long requests. A short one need not wait for them, and must
- * not be refused for their time.
+ * A long queue of long requests. A short request starts before them, so it must
+ * not be refused for the time that they take.
  */
-static void test_queue_counts_what_goes_before(void)
+static void test_queue_counts_earlier_work(void)
 {
 	struct queued in = { .deadline_ms = 10000 };
 	struct queue q;
 	uint32_t i;
 
-	learn_two(&q, 15, 110);
+	init_two_classes(&q, 15, 110);
 	q.max = 100;
 	in.class_index = 1;
 	in.due_ms = 100;
@@ -376,18 +392,18 @@
 }
 
 /*
- * A full queue, and no class that operators would rather have refused. Shared
- * out evenly, refusals hit the calls that requests elsewhere wait for, and all
- * of the work on those is wasted.
+ * The queue is full, and no class has a refusal target. If refusals were spread
+ * evenly over the classes, they would hit calls that requests elsewhere wait
+ * for, and all the work done for those requests would be wasted.
  */
-static void test_queue_full_of_long_ones(void)
+static void test_queue_full_evicts_long(void)
 {
 	struct queued in = { .deadline_ms = 10000, .due_ms = 100 };
 	struct queued *victim;
 	struct queue q;
 	uint32_t i;
 
-	learn_two(&q, 15, 110);
+	init_two_classes(&q, 15, 110);
 	in.class_index = 1;
 	for (i = 0; i < 4; i++) {
 		queue_count(&q, 1, true);
@@ -402,7 +418,11 @@
 	queue_finish(&q);
 }
 
-static int64_t last_refused_ms(struct admission *a)
+/*
+ * Queues eight long requests, then offers short ones as fast as slots become
+ * free. Returns the time when the last long request was refused.
+ */
+static int64_t last_long_refused_ms(struct admission *a)
 {
 	struct queued in = { .deadline_ms = 1460 };
 	struct queued *victim;
@@ -433,9 +453,9 @@
 }
 
 /*
- * Twelve slots, all taken, and short requests that come as fast as they free.
- * The long ones that wait are never begun. Told so only at their deadline,
- * their callers have no time left to come back.
+ * All twelve slots are taken, and short requests arrive as fast as slots become
+ * free, so the long requests in the queue never start. If these were refused
+ * only at their deadline, their callers would have no time left to retry.
  */
 static void test_admission_overtaken(void)
 {
@@ -447,20 +467,23 @@
 	queue_update_service_ms(&a.queue, 0, 40);
 	queue_update_service_ms(&a.queue, 1, 150);
 	a.n_in_flight = 12;
-	g_assert_cmpint(last_refused_ms(&a), <=, 400);
+	g_assert_cmpint(last_long_refused_ms(&a), <=, 400);
 	admission_finish(&a);
 }
 
 #define LOAD_MS 20000
 #define WORK_MS 100
 
-/* Of requests that come every gap_ms, how many are begun in good time. */
-static uint32_t begun_in_time(struct admission *a, int64_t gap_ms)
+/*
+ * The number of requests, one arriving every gap_ms, that start early enough to
+ * finish by their due_ms even if they take twice the usual time.
+ */
+static uint32_t count_started_in_time(struct admission *a, int64_t gap_ms)
 {
 	int64_t free_ms[12] = { 0 };
 	struct queued *victim;
 	struct queued out;
-	uint32_t good = 0;
+	uint32_t n_in_time = 0;
 	int64_t now;
 	uint32_t i;
 
@@ -482,33 +505,37 @@
 			for (i = 0; free_ms[i] > now; i++)
 				;
 			free_ms[i] = now + WORK_MS;
-			/* Its work may take twice as long as usual. */
-			good += now + 2 * WORK_MS <= out.due_ms;
+			/* In time even if it takes twice as long as usual. */
+			n_in_time += now + 2 * WORK_MS <= out.due_ms;
 		}
 	}
-	return good;
+	return n_in_time;
 }
 
 /*
- * A server that gets a third more than it can do, for long. Begun in the
- * order in which they are due, all wait until there is just time enough for
- * the usual work, and what takes longer than usual is late.
+ * For a long time the server gets over a third more work than it can do.
+ * Started in the order in which they are due, all requests would wait until
+ * only the usual service time is left, and each one that takes longer would be
+ * late.
  */
 static void test_admission_overload_in_time(void)
 {
-	uint32_t able = LOAD_MS * 12 / WORK_MS;
+	uint32_t capacity = LOAD_MS * 12 / WORK_MS;
 	struct admission a;
 
 	admission_init(&a, &limit_fixed, 0, 0);
 	admission_reset(&a, &limit_fixed, 12, 0);
 	queue_set_classes(&a.queue, 1);
 	queue_update_service_ms(&a.queue, 0, WORK_MS);
-	g_assert_cmpuint(begun_in_time(&a, 6), >=, able * 9 / 10);
+	g_assert_cmpuint(count_started_in_time(&a, 6), >=, capacity * 9 / 10);
 	admission_finish(&a);
 }
 
-/* A link of 8 Mbit/s carries 1,000 bytes a millisecond, 900 of them answers. */
-static void test_link(void)
+/*
+ * A link of 8 Mbit/s carries 1,000 bytes per millisecond, of which 900 are
+ * bytes of answers.
+ */
+static void test_link_wait(void)
 {
 	struct link l;
 
@@ -528,7 +555,10 @@
 	g_assert_cmpfloat(link_wait_ms(&l, 1e9, 1000), ==, 0);
 }
 
-/* Two clocks drift apart: what was the fastest way an hour ago says nothing. */
+/*
+ * The clocks of two hosts drift apart, so the smallest offset of an hour ago
+ * must not be used to compute the delay of a message now.
+ */
 static void test_delay_follows_drift(void)
 {
 	struct delay d;
@@ -543,8 +573,11 @@
 			400);
 }
 
-/* Operators change a route; what was learned of the others is not forgotten. */
-static void test_classes_stay_known(void)
+/*
+ * When operators change a route, the average service times of the other classes
+ * must be kept.
+ */
+static void test_queue_keeps_class_stats(void)
 {
 	struct queue q;
 
@@ -559,8 +592,8 @@
 	queue_finish(&q);
 }
 
-/* A flood of what is noted must not make the newest of it forgotten. */
-static void test_recent_drops_the_oldest(void)
+/* However many entries are added, the newest ones must still be found. */
+static void test_fifo_cache_evicts_oldest(void)
 {
 	struct fifo_cache r;
 	uint64_t i;
@@ -582,20 +615,21 @@
 int main(int argc, char **argv)
 {
 	g_test_init(&argc, &argv, NULL);
-	g_test_add_func("/limit/cold", test_limit_starts_cold);
-	g_test_add_func("/limit/cold-again", test_limit_notices_cold);
-	g_test_add_func("/limit/stall", test_limit_forgives_a_stall);
-	g_test_add_func("/limit/shed", test_limit_follows_shedding);
-	g_test_add_func("/queue/classes-stay-known", test_classes_stay_known);
+	g_test_add_func("/limit/cold", test_limit_slow_start);
+	g_test_add_func("/limit/cold-again", test_limit_restarts_slow_start);
+	g_test_add_func("/limit/stall", test_limit_recovers_after_stall);
+	g_test_add_func("/limit/shed", test_limit_halves_on_shedding);
+	g_test_add_func("/queue/classes-stay-known",
+			test_queue_keeps_class_stats);
 	g_test_add_func("/cold/before-configuration",
-			test_cold_before_configuration);
-	g_test_add_func("/cold/sliding", test_cold_sliding);
+			test_cold_start_before_configuration);
+	g_test_add_func("/cold/sliding", test_cold_start_sliding_window);
 	g_test_add_func("/queue/order", test_queue_order);
 	g_test_add_func("/queue/shortest-first", test_queue_shortest_first);
 	g_test_add_func("/queue/counts-what-goes-before",
-			test_queue_counts_what_goes_before);
+			test_queue_counts_earlier_work);
 	g_test_add_func("/queue/full-of-long-ones",
-			test_queue_full_of_long_ones);
+			test_queue_full_evicts_long);
 	g_test_add_func("/queue/by-target", test_queue_refuses_by_target);
 	g_test_add_func("/queue/early", test_queue_early_refusal);
 	g_test_add_func("/queue/short-among-long", test_queue_short_among_long);
@@ -605,10 +639,10 @@
 	g_test_add_func("/ids/repeat", test_ids_repeat);
 	g_test_add_func("/ids/full", test_ids_full);
 	g_test_add_func("/ids/move", test_ids_move);
-	g_test_add_func("/ids/made", test_ids_made);
-	g_test_add_func("/link/wait", test_link);
+	g_test_add_func("/ids/made", test_ids_creation_time);
+	g_test_add_func("/link/wait", test_link_wait);
 	g_test_add_func("/recent/drops-the-oldest",
-			test_recent_drops_the_oldest);
+			test_fifo_cache_evicts_oldest);
 	g_test_add_func("/delay/follows-drift", test_delay_follows_drift);
 	return g_test_run();
 }
--- a/t/test-grants.c
+++ b/t/test-grants.c
@@ -5,9 +5,9 @@
 #include "platform/announce.h"
 
 /*
- * Grants by call, one case at a time: what is called next, and what is known of
- * a shard while a call is on its way, unanswered or refused. Then grants by
- * heartbeat, where an answer has no room for all rows.
+ * Grants by call, one case at a time: which call is made next, and what is
+ * known of a shard while a call is in flight, was not answered or was refused.
+ * Then grants by heartbeat, where an answer has no room for all rows.
  */
 
 #define N_SHARDS 8
@@ -16,43 +16,49 @@
 #define LEASE_MS 3000
 #define BOTH (1 << GRANT_CALL_GRANT | 1 << GRANT_CALL_RELEASE)
 
-/* What a node would say of its shards: fence 0 where it does not serve. */
-struct owned {
+/*
+ * The shards of a node: the fence under which it serves each, 0 if it does not
+ * serve it, and whether it expects to own it.
+ */
+struct owned_shards {
 	int64_t fence[N_SHARDS];
 	bool expected[N_SHARDS];
 };
 
 static bool serves(const void *user, uint32_t shard, int64_t *fence)
 {
-	const struct owned *w = user;
+	const struct owned_shards *owned = user;
 
-	*fence = w->fence[shard];
+	*fence = owned->fence[shard];
 	return *fence;
 }
 
 static bool expects(const void *user, uint32_t shard)
 {
-	const struct owned *w = user;
+	const struct owned_shards *owned = user;
 
-	return w->expected[shard];
+	return owned->expected[shard];
 }
 
-static const struct grant_owner_ops owned_ops = { serves, expects };
+static const struct grant_owner_ops owner_ops = { serves, expects };
 
 struct fixture {
 	struct grants g;
-	struct owned w;
-	struct grant_owner o;
+	struct owned_shards owned;
+	struct grant_owner owner;
 	int64_t now;
-	int64_t beat;
+	int64_t heartbeat_number;
 };
 
 static void renew_lease(struct fixture *f)
 {
-	f->o.lease_end_ms = f->now + LEASE_MS;
+	f->owner.lease_end_ms = f->now + LEASE_MS;
 }
 
-/* A server that is heard, with nothing left of a process before this one. */
+/*
+ * A server whose heartbeat was received, with no grants left from a previous
+ * process.
+ */
 static void set_up(struct fixture *f)
 {
 	memset(f, 0, sizeof(*f));
@@ -60,66 +66,67 @@
 	grants_init(&f->g, &grant_by_call, 0);
 	grants_resize(&f->g, N_SHARDS, N_KEYS);
 	grant_call_heartbeat_received(&f->g);
-	f->o.ops = &owned_ops;
-	f->o.user = &f->w;
-	f->o.newest_fence = 999;
-	f->o.is_caught_up = true;
+	f->owner.ops = &owner_ops;
+	f->owner.user = &f->owned;
+	f->owner.newest_fence = 999;
+	f->owner.is_caught_up = true;
 	renew_lease(f);
 }
 
-static void own(struct fixture *f, uint32_t from, uint32_t to, int64_t fence)
+static void set_owned(struct fixture *f, uint32_t from, uint32_t to,
+		      int64_t fence)
 {
 	uint32_t i;
 
 	for (i = from; i <= to; i++) {
-		f->w.fence[i] = fence;
-		f->w.expected[i] = fence;
+		f->owned.fence[i] = fence;
+		f->owned.expected[i] = fence;
 	}
 }
 
-static bool next(struct fixture *f, struct grant_call *c)
+static bool next_call(struct fixture *f, struct grant_call *c)
 {
-	return grant_call_next(&f->g, &f->o, BOTH, HOLD_MAX_MS, f->now, c);
+	return grant_call_next(&f->g, &f->owner, BOTH, HOLD_MAX_MS, f->now, c);
 }
 
-static void done(struct fixture *f, const struct grant_call *c,
-		 enum grant_outcome outcome, const char *handover)
+static void finish_call(struct fixture *f, const struct grant_call *c,
+			enum grant_outcome outcome, const char *handover)
 {
 	grant_call_done(&f->g, c, outcome, handover, f->now);
 }
 
-/* Give shards 0 to 3 under fence 10, answered. */
-static void give_four(struct fixture *f)
+/* Grants shards 0 to 3 under fence 10; the server acknowledges the call. */
+static void grant_four_shards(struct fixture *f)
 {
 	struct grant_call c;
 
 	set_up(f);
-	own(f, 0, 3, 10);
-	g_assert_true(next(f, &c));
+	set_owned(f, 0, 3, 10);
+	g_assert_true(next_call(f, &c));
 	g_assert_cmpint(c.kind, ==, GRANT_CALL_GRANT);
 	g_assert_cmpuint(c.first, ==, 0);
 	g_assert_cmpuint(c.last, ==, 3);
 	g_assert_cmpint(c.row.from, ==, 0);
 	g_assert_cmpint(c.row.to, ==, 127);
-	done(f, &c, GRANT_APPLIED, NULL);
+	finish_call(f, &c, GRANT_APPLIED, NULL);
 }
 
 /*
- * Until the server has said that it holds a key, a request for it would be
- * turned away.
+ * A shard counts as held only when the server has acknowledged the grant, since
+ * the server would refuse requests sent before that.
  */
-static void test_granted_when_answered(void)
+static void test_held_once_answered(void)
 {
 	struct fixture f;
 	struct grant_call c, other;
 
 	set_up(&f);
-	own(&f, 0, 3, 10);
-	g_assert_true(next(&f, &c));
+	set_owned(&f, 0, 3, 10);
+	g_assert_true(next_call(&f, &c));
 	g_assert_false(grants_server_holds(&f.g, 0, 10, f.now));
 	g_assert_true(grants_may_hold(&f.g, 0, f.now));
-	g_assert_false(next(&f, &other));
-	done(&f, &c, GRANT_APPLIED, NULL);
+	g_assert_false(next_call(&f, &other));
+	finish_call(&f, &c, GRANT_APPLIED, NULL);
 	g_assert_true(grants_server_holds(&f.g, 3, 10, f.now));
 	g_assert_false(grants_server_holds(&f.g, 4, 10, f.now));
 	g_assert_cmpuint(grant_call_count_ranges(&f.g), ==, 1);
@@ -127,9 +134,10 @@
 }
 
 /*
- * A hold counts from the call's arrival, by a clock that may be 2% slow. Sent
- * at the last moment it must be over when our lease is, or another owner could
- * have its server hold the keys beside ours.
+ * A hold lasts from the arrival of the call, by a clock that may be 2% slow.
+ * Even if the call is sent at the last allowed moment, the hold must end before
+ * our lease does. Otherwise another owner's server could hold the keys while
+ * ours still does.
  */
 static void test_hold_ends_with_lease(void)
 {
@@ -137,31 +145,35 @@
 	struct grant_call c;
 
 	set_up(&f);
-	own(&f, 0, 0, 10);
-	g_assert_true(next(&f, &c));
+	set_owned(&f, 0, 0, 10);
+	g_assert_true(next_call(&f, &c));
 	g_assert_cmpfloat(c.send_by_ms + c.hold_ms * GRANT_CLOCK_DRIFT_FACTOR,
-			  <=, f.o.lease_end_ms);
-	g_assert_cmpint(c.latest_end_ms, <=, f.o.lease_end_ms);
+			  <=, f.owner.lease_end_ms);
+	g_assert_cmpint(c.latest_end_ms, <=, f.owner.lease_end_ms);
 	g_assert_cmpint(c.earliest_end_ms, <=, f.now + c.hold_ms);
 	grants_finish(&f.g);
 }
 
-/* A lease about to end is no ground for a hold that nobody can renew. */
+/*
+ * When the lease is about to end, a shard must not be granted: the hold could
+ * not be renewed.
+ */
 static void test_no_hold_without_lease(void)
 {
 	struct fixture f;
 	struct grant_call c;
 
 	set_up(&f);
-	own(&f, 0, 0, 10);
-	f.o.lease_end_ms = f.now + 200;
-	g_assert_false(next(&f, &c));
+	set_owned(&f, 0, 0, 10);
+	f.owner.lease_end_ms = f.now + 200;
+	g_assert_false(next_call(&f, &c));
 	grants_finish(&f.g);
 }
 
 /*
- * All runs renewed at once, each heartbeat, would be a burst of calls; renewed
- * too late, one that is lost ends the hold.
+ * If all ranges were renewed with every heartbeat, each heartbeat would cause a
+ * burst of calls. If they were renewed too late, one lost call would end the
+ * hold.
  */
 static void test_renewed_in_time(void)
 {
@@ -169,170 +181,181 @@
 	struct grant_call c;
 	int64_t end;
 
-	give_four(&f);
+	grant_four_shards(&f);
 	end = f.g.shards[0].holds_until_ms;
 	for (;; f.now += 50) {
 		renew_lease(&f);
-		if (next(&f, &c))
+		if (next_call(&f, &c))
 			break;
 	}
 	g_assert_cmpint(end - f.now, >, 1000);
 	g_assert_cmpint(end - f.now, <, 2000);
 	g_assert_cmpuint(c.first, ==, 0);
 	g_assert_cmpuint(c.last, ==, 3);
-	done(&f, &c, GRANT_APPLIED, NULL);
+	finish_call(&f, &c, GRANT_APPLIED, NULL);
 	g_assert_cmpint(f.g.shards[2].holds_until_ms, >, end);
 	grants_finish(&f.g);
 }
 
 /*
- * A renewal gets no answer: the server may carry it out seconds later, after it
- * has let the keys go. Given to another server at once they would then be held
- * by both.
+ * A renewal gets no answer. The server may carry it out seconds later, after it
+ * has released the keys. If they were granted to another server at once, two
+ * servers would hold them.
  */
-static void test_doubt_outlives_release(void)
+static void test_in_doubt_outlives_release(void)
 {
 	struct fixture f;
-	struct grant_call late, c;
+	struct grant_call late_call, c;
 
-	give_four(&f);
+	grant_four_shards(&f);
 	f.now += 1800;
 	renew_lease(&f);
-	g_assert_true(next(&f, &late));
-	done(&f, &late, GRANT_IN_DOUBT, NULL);
-	own(&f, 0, 3, 0);
-	g_assert_true(next(&f, &c));
+	g_assert_true(next_call(&f, &late_call));
+	finish_call(&f, &late_call, GRANT_IN_DOUBT, NULL);
+	set_owned(&f, 0, 3, 0);
+	g_assert_true(next_call(&f, &c));
 	g_assert_cmpint(c.kind, ==, GRANT_CALL_RELEASE);
 	g_assert_cmpint(c.row.fence, ==, 10);
-	done(&f, &c, GRANT_APPLIED, "5c0e");
+	finish_call(&f, &c, GRANT_APPLIED, "5c0e");
 	g_assert_false(grants_server_holds(&f.g, 0, 10, f.now));
 	g_assert_true(grants_may_hold(&f.g, 0, f.now));
-	g_assert_true(grants_may_hold(&f.g, 0, late.latest_end_ms - 1));
-	g_assert_false(grants_may_hold(&f.g, 0, late.latest_end_ms));
+	g_assert_true(grants_may_hold(&f.g, 0, late_call.latest_end_ms - 1));
+	g_assert_false(grants_may_hold(&f.g, 0, late_call.latest_end_ms));
 	grants_finish(&f.g);
 }
 
-/* The same while the call is still on its way, which may be its first. */
-static void test_asked_counts_as_held(void)
+/*
+ * The same while the call is in flight, even if it is the first one for the
+ * shard.
+ */
+static void test_in_flight_counts_as_held(void)
 {
 	struct fixture f;
 	struct grant_call c, other;
 
 	set_up(&f);
-	own(&f, 0, 0, 10);
-	g_assert_true(next(&f, &c));
-	own(&f, 0, 0, 0);
-	g_assert_false(next(&f, &other));
+	set_owned(&f, 0, 0, 10);
+	g_assert_true(next_call(&f, &c));
+	set_owned(&f, 0, 0, 0);
+	g_assert_false(next_call(&f, &other));
 	g_assert_true(grants_may_hold(&f.g, 0, f.now + 60000));
-	done(&f, &c, GRANT_NOT_APPLIED, NULL);
+	finish_call(&f, &c, GRANT_NOT_APPLIED, NULL);
 	g_assert_false(grants_may_hold(&f.g, 0, f.now));
 	grants_finish(&f.g);
 }
 
-/* A release without an answer is asked for again; until then all is held. */
+/*
+ * A release without an answer is repeated. Until one is acknowledged, its
+ * shards count as held.
+ */
 static void test_release_repeated(void)
 {
 	struct fixture f;
 	struct grant_call c;
 
-	give_four(&f);
-	own(&f, 2, 3, 0);
-	g_assert_true(next(&f, &c));
+	grant_four_shards(&f);
+	set_owned(&f, 2, 3, 0);
+	g_assert_true(next_call(&f, &c));
 	g_assert_cmpint(c.kind, ==, GRANT_CALL_RELEASE);
 	g_assert_cmpuint(c.first, ==, 2);
 	g_assert_cmpuint(c.last, ==, 3);
-	done(&f, &c, GRANT_IN_DOUBT, NULL);
+	finish_call(&f, &c, GRANT_IN_DOUBT, NULL);
 	g_assert_true(grants_may_hold(&f.g, 2, f.now));
 	f.now += 100;
-	g_assert_true(next(&f, &c));
+	g_assert_true(next_call(&f, &c));
 	g_assert_cmpint(c.kind, ==, GRANT_CALL_RELEASE);
-	done(&f, &c, GRANT_APPLIED, "ab12");
+	finish_call(&f, &c, GRANT_APPLIED, "ab12");
 	g_assert_false(grants_may_hold(&f.g, 2, f.now));
 	g_assert_true(grants_server_holds(&f.g, 1, 10, f.now));
 	grants_finish(&f.g);
 }
 
 /*
- * The handover that a release was answered with keeps the keys warm at their
- * next holder. It goes with the first grant there, and with that alone.
+ * The server may answer a release with a handover, with which the next holder
+ * of the keys starts warm. It must be sent with the first grant there, and with
+ * no other call.
  */
 static void test_handover(void)
 {
 	struct fixture f, to;
 	struct grant_call c;
-	GArray *told = g_array_new(FALSE, FALSE, sizeof(int64_t));
-
-	give_four(&f);
-	own(&f, 3, 3, 0);
-	g_assert_true(next(&f, &c));
-	done(&f, &c, GRANT_APPLIED, "00ab12");
-	grants_export(&f.g, 3, told);
-	g_assert_cmpuint(told->len, ==, GRANTS_ENTRY_LEN);
+	GArray *exported = g_array_new(FALSE, FALSE, sizeof(int64_t));
+
+	grant_four_shards(&f);
+	set_owned(&f, 3, 3, 0);
+	g_assert_true(next_call(&f, &c));
+	finish_call(&f, &c, GRANT_APPLIED, "00ab12");
+	grants_export(&f.g, 3, exported);
+	g_assert_cmpuint(exported->len, ==, GRANTS_ENTRY_LEN);
 	set_up(&to);
-	g_assert_true(grants_import(&to.g, (int64_t *)told->data));
-	own(&to, 2, 4, 20);
-	g_assert_true(next(&to, &c));
+	g_assert_true(grants_import(&to.g, (int64_t *)exported->data));
+	set_owned(&to, 2, 4, 20);
+	g_assert_true(next_call(&to, &c));
 	g_assert_cmpuint(c.first, ==, 2);
 	g_assert_cmpuint(c.last, ==, 2);
-	done(&to, &c, GRANT_APPLIED, NULL);
-	g_assert_true(next(&to, &c));
+	finish_call(&to, &c, GRANT_APPLIED, NULL);
+	g_assert_true(next_call(&to, &c));
 	g_assert_cmpuint(c.first, ==, 3);
 	g_assert_cmpuint(c.last, ==, 3);
 	g_assert_cmpstr(c.row.handover, ==, "00ab12");
-	done(&to, &c, GRANT_APPLIED, NULL);
+	finish_call(&to, &c, GRANT_APPLIED, NULL);
 	to.now += 2000;
 	renew_lease(&to);
-	g_assert_true(next(&to, &c));
+	g_assert_true(next_call(&to, &c));
 	g_assert_cmpuint(c.last, ==, 4);
-	g_array_unref(told);
+	g_array_unref(exported);
 	grants_finish(&f.g);
 	grants_finish(&to.g);
 }
 
 /*
- * The server has seen a higher fence on one key of a run. All of the run was
- * refused; the others must not wait for that one, and that one must not be
- * asked for again under a fence that is known to be too low.
+ * The server has seen a higher fence on one key of a range, so it refused the
+ * whole range. The other shards must be granted without waiting for that one,
+ * and that one must not be granted again under a fence that is known to be too
+ * low.
  */
-static void test_fenced_alone(void)
+static void test_fenced_shard_is_isolated(void)
 {
 	struct fixture f;
 	struct grant_call c;
 	uint32_t i;
 
 	set_up(&f);
-	own(&f, 0, 2, 10);
-	g_assert_true(next(&f, &c));
+	set_owned(&f, 0, 2, 10);
+	g_assert_true(next_call(&f, &c));
 	g_assert_cmpuint(c.last, ==, 2);
-	done(&f, &c, GRANT_FENCED, NULL);
-	g_assert_false(next(&f, &c));
+	finish_call(&f, &c, GRANT_FENCED, NULL);
+	g_assert_false(next_call(&f, &c));
 	f.now += 1000;
 	renew_lease(&f);
 	for (i = 0; i < 3; i++) {
-		g_assert_true(next(&f, &c));
+		g_assert_true(next_call(&f, &c));
 		g_assert_cmpuint(c.first, ==, i);
 		g_assert_cmpuint(c.last, ==, i);
-		done(&f, &c, i == 1 ? GRANT_FENCED : GRANT_APPLIED, NULL);
+		finish_call(&f, &c, i == 1 ? GRANT_FENCED : GRANT_APPLIED,
+			    NULL);
 	}
 	f.now += 10000;
 	renew_lease(&f);
-	while (next(&f, &c)) {
+	while (next_call(&f, &c)) {
 		g_assert_cmpuint(c.first, !=, 1);
-		done(&f, &c, GRANT_APPLIED, NULL);
+		finish_call(&f, &c, GRANT_APPLIED, NULL);
 	}
-	f.w.fence[1] = 30;
-	g_assert_true(next(&f, &c));
+	f.owned.fence[1] = 30;
+	g_assert_true(next_call(&f, &c));
 	g_assert_cmpuint(c.first, ==, 1);
 	g_assert_cmpint(c.row.fence, ==, 30);
 	grants_finish(&f.g);
 }
 
 /*
- * A process starts beside a server that lives on. What the one before granted
- * runs on for up to a lease: taken for free, it would go to another server.
- * What is ours by the log is renewed at once; the rest is asked back.
+ * A process starts while its backend server keeps running. Grants by the
+ * previous process stay in force for up to the length of a lease; if their
+ * shards counted as free, another server could be granted them too. Shards that
+ * are ours by the log are renewed at once, and the release of the others is
+ * requested.
  */
-static void test_past_is_accounted_for(void)
+static void test_prev_process_grants_count(void)
 {
 	struct fixture f;
 	struct grant_call c;
@@ -344,30 +367,30 @@
 	grants_init(&f.g, &grant_by_call, end);
 	grants_resize(&f.g, N_SHARDS, N_KEYS);
 	g_assert_true(grants_may_hold(&f.g, 7, f.now));
-	g_assert_false(next(&f, &c));
+	g_assert_false(next_call(&f, &c));
 	grant_call_heartbeat_received(&f.g);
-	own(&f, 0, 3, 10);
-	g_assert_true(next(&f, &c));
+	set_owned(&f, 0, 3, 10);
+	g_assert_true(next_call(&f, &c));
 	g_assert_cmpint(c.kind, ==, GRANT_CALL_GRANT);
 	g_assert_cmpuint(c.last, ==, 3);
-	done(&f, &c, GRANT_APPLIED, NULL);
-	g_assert_true(next(&f, &c));
+	finish_call(&f, &c, GRANT_APPLIED, NULL);
+	g_assert_true(next_call(&f, &c));
 	g_assert_cmpint(c.kind, ==, GRANT_CALL_RELEASE);
 	g_assert_cmpuint(c.first, ==, 4);
 	g_assert_cmpuint(c.last, ==, 7);
 	g_assert_cmpint(c.row.fence, ==, 999);
 	g_assert_true(grants_may_hold(&f.g, 5, f.now));
-	done(&f, &c, GRANT_APPLIED, NULL);
-	/* The process before may have been killed with a call in doubt. */
+	finish_call(&f, &c, GRANT_APPLIED, NULL);
+	/* The previous process may have been killed with a call in doubt. */
 	g_assert_true(grants_may_hold(&f.g, 5, end - 1));
 	g_assert_false(grants_may_hold(&f.g, 5, end));
 	grants_finish(&f.g);
 }
 
 /*
- * What was given anew has raised the fence: no call of the process before is
- * carried out any more, and let go the shard is free at once. Under the same
- * fence a late call of our own still would be.
+ * After a grant under a higher fence, the server no longer carries out calls of
+ * the previous process, so the shard is free as soon as it is released. Under
+ * the same fence the server could still carry out a late call of this process.
  */
 static void test_higher_fence_ends_doubt(void)
 {
@@ -379,53 +402,57 @@
 	grants_init(&f.g, &grant_by_call, f.now + LEASE_MS);
 	grants_resize(&f.g, N_SHARDS, N_KEYS);
 	grant_call_heartbeat_received(&f.g);
-	own(&f, 0, 7, 10);
-	g_assert_true(next(&f, &c));
-	done(&f, &c, GRANT_IN_DOUBT, NULL);
-	g_assert_true(next(&f, &c));
-	done(&f, &c, GRANT_APPLIED, NULL);
-	own(&f, 0, 3, 0);
-	g_assert_true(next(&f, &c));
+	set_owned(&f, 0, 7, 10);
+	g_assert_true(next_call(&f, &c));
+	finish_call(&f, &c, GRANT_IN_DOUBT, NULL);
+	g_assert_true(next_call(&f, &c));
+	finish_call(&f, &c, GRANT_APPLIED, NULL);
+	set_owned(&f, 0, 3, 0);
+	g_assert_true(next_call(&f, &c));
 	g_assert_cmpint(c.kind, ==, GRANT_CALL_RELEASE);
-	done(&f, &c, GRANT_APPLIED, NULL);
+	finish_call(&f, &c, GRANT_APPLIED, NULL);
 	g_assert_true(grants_may_hold(&f.g, 0, f.now));
-	own(&f, 4, 7, 12);
+	set_owned(&f, 4, 7, 12);
 	f.now += 1500;
 	renew_lease(&f);
-	g_assert_true(next(&f, &c));
+	g_assert_true(next_call(&f, &c));
 	g_assert_cmpint(c.row.fence, ==, 12);
-	done(&f, &c, GRANT_APPLIED, NULL);
-	own(&f, 4, 7, 0);
-	g_assert_true(next(&f, &c));
+	finish_call(&f, &c, GRANT_APPLIED, NULL);
+	set_owned(&f, 4, 7, 0);
+	g_assert_true(next_call(&f, &c));
 	g_assert_cmpint(c.kind, ==, GRANT_CALL_RELEASE);
-	done(&f, &c, GRANT_APPLIED, NULL);
+	finish_call(&f, &c, GRANT_APPLIED, NULL);
 	g_assert_false(grants_may_hold(&f.g, 4, f.now));
 	grants_finish(&f.g);
 }
 
-/* A new process waits no longer than the one before can have granted. */
-static void test_past_covers_longest_hold(void)
+/*
+ * The time for which a new process counts the shards as held must cover the
+ * longest hold that the previous process can have granted.
+ */
+static void test_prev_process_wait_is_long_enough(void)
 {
 	struct fixture f;
 	struct grant_call c;
 
 	set_up(&f);
-	f.o.lease_end_ms = f.now + 60000;
-	own(&f, 0, 0, 10);
-	g_assert_true(next(&f, &c));
+	f.owner.lease_end_ms = f.now + 60000;
+	set_owned(&f, 0, 0, 10);
+	g_assert_true(next_call(&f, &c));
 	g_assert_cmpint(c.latest_end_ms, <=,
 			f.now + grants_prev_process_hold_ms(&grant_by_call,
 							    60000));
-	done(&f, &c, GRANT_APPLIED, NULL);
+	finish_call(&f, &c, GRANT_APPLIED, NULL);
 	grants_finish(&f.g);
 }
 
 /*
- * The same before the new process has joined: what the log still has under the
- * name of the one before is about to be ours, and let go it would come back
- * cold. Without any word of the server's the wait is for the longest grant.
+ * The same before the new process has joined. Shards that the log still lists
+ * for the previous process are about to be ours; if they were released, they
+ * would come back cold. As long as the server has acknowledged no call for
+ * them, they count as held for the longest possible grant.
  */
-static void test_past_kept_until_joined(void)
+static void test_prev_process_grants_kept_until_joined(void)
 {
 	struct fixture f;
 	struct grant_call c;
@@ -437,110 +464,116 @@
 	grants_resize(&f.g, N_SHARDS, N_KEYS);
 	grant_call_heartbeat_received(&f.g);
 	for (i = 0; i < N_SHARDS; i++)
-		f.w.expected[i] = true;
-	g_assert_false(next(&f, &c));
+		f.owned.expected[i] = true;
+	g_assert_false(next_call(&f, &c));
 	g_assert_true(grants_may_hold(&f.g, 0, f.now + LEASE_MS - 1));
 	g_assert_false(grants_may_hold(&f.g, 0, f.now + LEASE_MS));
 	grants_finish(&f.g);
 }
 
 /*
- * The server ended and started again, and we hear so late: what was meant for
- * the life before may have reached the new one. It is asked back, and the
- * answer to a call of before does not count as the new life's word.
+ * The server was restarted, and the node learns of it late: calls meant for the
+ * previous instance may have reached the new one. The release of their shards
+ * is requested, and an answer to an earlier call does not show what the new
+ * instance holds.
  */
-static void test_new_life_gives_all_back(void)
+static void test_new_instance_releases_all(void)
 {
 	struct fixture f;
-	struct grant_call late, c;
+	struct grant_call late_call, c;
 
-	give_four(&f);
-	own(&f, 5, 5, 12);
-	g_assert_true(next(&f, &late));
+	grant_four_shards(&f);
+	set_owned(&f, 5, 5, 12);
+	g_assert_true(next_call(&f, &late_call));
 	grants_new_instance(&f.g);
-	own(&f, 0, 5, 0);
+	set_owned(&f, 0, 5, 0);
 	g_assert_false(grants_server_holds(&f.g, 0, 10, f.now));
 	g_assert_true(grants_may_hold(&f.g, 0, f.now));
-	done(&f, &late, GRANT_APPLIED, NULL);
+	finish_call(&f, &late_call, GRANT_APPLIED, NULL);
 	g_assert_false(grants_server_holds(&f.g, 5, 12, f.now));
 	g_assert_true(grants_may_hold(&f.g, 5, f.now));
-	g_assert_true(next(&f, &c));
+	g_assert_true(next_call(&f, &c));
 	g_assert_cmpint(c.kind, ==, GRANT_CALL_RELEASE);
-	done(&f, &c, GRANT_APPLIED, NULL);
+	finish_call(&f, &c, GRANT_APPLIED, NULL);
 	g_assert_false(grants_may_hold(&f.g, 0, f.now));
-	g_assert_true(grants_may_hold(&f.g, 5, late.latest_end_ms - 1));
+	g_assert_true(grants_may_hold(&f.g, 5, late_call.latest_end_ms - 1));
 	grants_finish(&f.g);
 }
 
 /*
- * Nobody listens at the server's address any more. Waited out, its holds would
- * keep its keys from their next owner for seconds. A call on its way is another
- * matter, for it may have found the next life.
+ * No process listens at the server's address any more. If its holds were left
+ * to expire, the keys would have no owner for seconds. A shard with a call in
+ * flight still counts as held, since the call may have reached the next
+ * instance.
  */
-static void test_ended_server_holds_nothing(void)
+static void test_stopped_server_holds_nothing(void)
 {
 	struct fixture f;
-	struct grant_call late, c;
+	struct grant_call late_call, c;
 
-	give_four(&f);
+	grant_four_shards(&f);
 	f.now += 1800;
 	renew_lease(&f);
-	g_assert_true(next(&f, &late));
-	done(&f, &late, GRANT_IN_DOUBT, NULL);
-	own(&f, 5, 5, 12);
-	g_assert_true(next(&f, &c));
+	g_assert_true(next_call(&f, &late_call));
+	finish_call(&f, &late_call, GRANT_IN_DOUBT, NULL);
+	set_owned(&f, 5, 5, 12);
+	g_assert_true(next_call(&f, &c));
 	g_assert_cmpuint(c.first, ==, 5);
 	grants_server_stopped(&f.g);
 	g_assert_false(grants_may_hold(&f.g, 0, f.now));
 	g_assert_false(grants_server_holds(&f.g, 0, 10, f.now));
 	g_assert_true(grants_may_hold(&f.g, 5, f.now));
-	done(&f, &c, GRANT_NOT_APPLIED, NULL);
+	finish_call(&f, &c, GRANT_NOT_APPLIED, NULL);
 	g_assert_false(grants_may_hold(&f.g, 5, f.now));
 	grants_finish(&f.g);
 }
 
 /*
- * The server turns a request away for a key that we think it holds. Waiting for
- * the next renewal would have it turn away all others until then.
+ * The server refuses a request for a key that it should hold. The shard must be
+ * granted again at once: until the next renewal the server would refuse all
+ * other requests for it.
  */
-static void test_misdirected_is_given_anew(void)
+static void test_misdirected_is_granted_again(void)
 {
 	struct fixture f;
 	struct grant_call c;
 
-	give_four(&f);
+	grant_four_shards(&f);
 	grants_misdirected(&f.g, 2, f.now);
 	g_assert_false(grants_server_holds(&f.g, 2, 10, f.now));
 	g_assert_true(grants_may_hold(&f.g, 2, f.now));
-	g_assert_true(next(&f, &c));
-	done(&f, &c, GRANT_APPLIED, NULL);
+	g_assert_true(next_call(&f, &c));
+	finish_call(&f, &c, GRANT_APPLIED, NULL);
 	g_assert_true(grants_server_holds(&f.g, 2, 10, f.now));
 	grants_finish(&f.g);
 }
 
 /*
- * A lease that lapses for a moment, with the keys still ours by the log: asked
- * back, they would come back cold a moment later.
+ * A lease lapses for a moment, and the log still lists the shards as ours. They
+ * must not be released, since they would come back cold a moment later.
  */
-static void test_lapse_lets_nothing_go(void)
+static void test_lapse_releases_nothing(void)
 {
 	struct fixture f;
 	struct grant_call c;
 
-	give_four(&f);
-	memset(f.w.fence, 0, sizeof(f.w.fence));
-	f.o.lease_end_ms = 0;
-	g_assert_false(next(&f, &c));
-	own(&f, 0, 3, 10);
+	grant_four_shards(&f);
+	memset(f.owned.fence, 0, sizeof(f.owned.fence));
+	f.owner.lease_end_ms = 0;
+	g_assert_false(next_call(&f, &c));
+	set_owned(&f, 0, 3, 10);
 	f.now += 1900;
 	renew_lease(&f);
-	g_assert_true(next(&f, &c));
+	g_assert_true(next_call(&f, &c));
 	g_assert_cmpint(c.kind, ==, GRANT_CALL_GRANT);
 	grants_finish(&f.g);
 }
 
-/* A server told by the answers to its heartbeats: four shards, four rows. */
-static void set_up_beats(struct fixture *f)
+/*
+ * A server that gets its grants in the answers to its heartbeats: four shards,
+ * four rows.
+ */
+static void set_up_heartbeats(struct fixture *f)
 {
 	uint32_t i;
 
@@ -549,34 +582,41 @@
 	grants_init(&f->g, &grant_by_heartbeat, 0);
 	grants_resize(&f->g, N_SHARDS, N_KEYS);
 	for (i = 0; i < N_SHARDS; i += 2)
-		own(f, i, i, 10 + i);
+		set_owned(f, i, i, 10 + i);
 }
 
-/* The rows of an answer of up to max_len bytes, as the server reads them. */
-static GArray *named(struct fixture *f, size_t max_len, int64_t *hold_ms,
-		     uint32_t *n_rows)
+/*
+ * The rows of an answer of up to max_len bytes. Sets *n_rows to the number of
+ * them that fit.
+ */
+static GArray *answer_rows(struct fixture *f, size_t max_len, int64_t *hold_ms,
+			   uint32_t *n_rows)
 {
-	GArray *rows = grant_heartbeat_rows(&f->g, &f->o, true, HOLD_MAX_MS,
+	GArray *rows = grant_heartbeat_rows(&f->g, &f->owner, true, HOLD_MAX_MS,
 					    f->now, hold_ms);
-	uint32_t n_left_out;
+	uint32_t n_omitted;
 
 	g_assert_nonnull(rows);
-	g_free(announce_encode_answer(rows, *hold_ms, max_len, &n_left_out));
-	*n_rows = rows->len - n_left_out;
+	g_free(announce_encode_answer(rows, *hold_ms, max_len, &n_omitted));
+	*n_rows = rows->len - n_omitted;
 	return rows;
 }
 
-/* A heartbeat of a server that holds the shards of the bits, and its answer. */
-static uint32_t beat(struct fixture *f, uint32_t held, size_t max_len)
+/*
+ * A heartbeat of a server that holds the shards whose bits are set in "held".
+ * Returns the bits of the shards that the answer grants.
+ */
+static uint32_t exchange_heartbeat(struct fixture *f, uint32_t held,
+				   size_t max_len)
 {
 	GArray *holds = g_array_new(FALSE, FALSE, sizeof(struct grant_row));
 	GArray *rows;
-	uint32_t n_named, i;
+	uint32_t n_answered, i;
 	uint32_t bits = 0;
 	int64_t hold_ms;
 
 	f->now += 900;
-	f->beat++;
+	f->heartbeat_number++;
 	renew_lease(f);
 	for (i = 0; i < N_SHARDS; i++) {
 		struct grant_row r = { .from = grants_first_key(&f->g, i),
@@ -586,127 +626,142 @@
 		if (held & 1 << i)
 			g_array_append_val(holds, r);
 	}
-	grant_heartbeat_received(&f->g, f->beat, holds, NULL, HOLD_MAX_MS,
-				 f->now);
+	grant_heartbeat_received(&f->g, f->heartbeat_number, holds, NULL,
+				 HOLD_MAX_MS, f->now);
 	g_array_unref(holds);
-	rows = named(f, max_len, &hold_ms, &n_named);
-	grant_heartbeat_answered(&f->g, rows, n_named, f->beat, hold_ms,
-				 f->now);
-	for (i = 0; i < n_named; i++)
+	rows = answer_rows(f, max_len, &hold_ms, &n_answered);
+	grant_heartbeat_answered(&f->g, rows, n_answered, f->heartbeat_number,
+				 hold_ms, f->now);
+	for (i = 0; i < n_answered; i++)
 		bits |= 1 << g_array_index(rows, struct grant_row, i).from *
 				     N_SHARDS / N_KEYS;
 	g_array_unref(rows);
 	return bits;
 }
 
-/* The shards that requests are sent for. */
-static uint32_t served(const struct fixture *f)
+/* The bits of the shards that requests are sent for. */
+static uint32_t served_shards(const struct fixture *f)
 {
 	uint32_t bits = 0;
 	uint32_t i;
 
 	for (i = 0; i < N_SHARDS; i++)
-		if (f->w.fence[i] &&
-		    grants_server_holds(&f->g, i, f->w.fence[i], f->now))
+		if (f->owned.fence[i] &&
+		    grants_server_holds(&f->g, i, f->owned.fence[i], f->now))
 			bits |= 1 << i;
 	return bits;
 }
 
-/* Bytes of an answer with two rows of four. */
+/* Length in bytes of an answer with room for two rows of four. */
 #define ROOM_FOR_TWO 60
 
-/* Requests for rows left out were sent, and all turned away by the server. */
-static void test_left_out_is_not_granted(void)
+/*
+ * A shard that an answer had no room for must not count as granted, or requests
+ * would be sent for it and the server would refuse them all.
+ */
+static void test_omitted_is_not_granted(void)
 {
 	struct fixture f;
-	uint32_t was;
+	uint32_t granted;
 
-	set_up_beats(&f);
-	was = beat(&f, 0, ROOM_FOR_TWO);
-	g_assert_cmphex(was, ==, 0x05);
-	g_assert_cmphex(served(&f), ==, was);
+	set_up_heartbeats(&f);
+	granted = exchange_heartbeat(&f, 0, ROOM_FOR_TWO);
+	g_assert_cmphex(granted, ==, 0x05);
+	g_assert_cmphex(served_shards(&f), ==, granted);
 	g_assert_false(grants_may_hold(&f.g, 6, f.now));
 	g_assert_true(grants_waiting_for_room(&f.g, 6));
 	g_assert_false(grants_waiting_for_room(&f.g, 1));
-	g_assert_cmphex(beat(&f, was, 4000), ==, 0x55);
+	g_assert_cmphex(exchange_heartbeat(&f, granted, 4000), ==, 0x55);
 	g_assert_false(grants_waiting_for_room(&f.g, 6));
-	g_assert_cmphex(served(&f), ==, 0x55);
+	g_assert_cmphex(served_shards(&f), ==, 0x55);
 	grants_finish(&f.g);
 }
 
-/* Let go for want of room, a key went to another server while still held. */
-static void test_left_out_counts_as_held(void)
+/*
+ * A held shard that an answer had no room for counts as held until its grant
+ * ends. If it counted as released, another server could be granted it while
+ * this one still holds it.
+ */
+static void test_omitted_counts_as_held(void)
 {
 	struct fixture f;
 	int64_t until;
 
-	set_up_beats(&f);
-	g_assert_cmphex(beat(&f, 0, 4000), ==, 0x55);
+	set_up_heartbeats(&f);
+	g_assert_cmphex(exchange_heartbeat(&f, 0, 4000), ==, 0x55);
 	until = f.g.shards[6].may_hold_until_ms;
-	g_assert_cmphex(beat(&f, 0x55, ROOM_FOR_TWO), ==, 0x05);
-	g_assert_cmphex(served(&f), ==, 0x05);
+	g_assert_cmphex(exchange_heartbeat(&f, 0x55, ROOM_FOR_TWO), ==, 0x05);
+	g_assert_cmphex(served_shards(&f), ==, 0x05);
 	g_assert_true(grants_may_hold(&f.g, 6, until - 1));
 	g_assert_false(grants_may_hold(&f.g, 6, until));
-	beat(&f, 0x05, ROOM_FOR_TWO);
+	exchange_heartbeat(&f, 0x05, ROOM_FOR_TWO);
 	g_assert_false(grants_may_hold(&f.g, 6, f.now));
 	grants_finish(&f.g);
 }
 
-/* Rows of low keys took the place of held ones, which came back cold. */
+/*
+ * When an answer has no room for all rows, shards already held go first. If
+ * rows of lower keys took their place, they would come back cold.
+ */
 static void test_held_rows_come_first(void)
 {
 	struct fixture f;
 
-	set_up_beats(&f);
-	own(&f, 0, 3, 0);
-	g_assert_cmphex(beat(&f, 0, ROOM_FOR_TWO), ==, 0x50);
-	own(&f, 0, 0, 20);
-	own(&f, 2, 2, 22);
-	g_assert_cmphex(beat(&f, 0x50, ROOM_FOR_TWO), ==, 0x50);
-	g_assert_cmphex(served(&f), ==, 0x50);
-	own(&f, 4, 4, 0);
-	g_assert_cmphex(beat(&f, 0x50, ROOM_FOR_TWO), ==, 0x41);
+	set_up_heartbeats(&f);
+	set_owned(&f, 0, 3, 0);
+	g_assert_cmphex(exchange_heartbeat(&f, 0, ROOM_FOR_TWO), ==, 0x50);
+	set_owned(&f, 0, 0, 20);
+	set_owned(&f, 2, 2, 22);
+	g_assert_cmphex(exchange_heartbeat(&f, 0x50, ROOM_FOR_TWO), ==, 0x50);
+	g_assert_cmphex(served_shards(&f), ==, 0x50);
+	set_owned(&f, 4, 4, 0);
+	g_assert_cmphex(exchange_heartbeat(&f, 0x50, ROOM_FOR_TWO), ==, 0x41);
 	grants_finish(&f.g);
 }
 
-/* Newcomers of low keys went before a row that had waited for long. */
+/*
+ * Among shards not held yet, the one that has waited longest goes first, not
+ * the one with the lowest keys.
+ */
 static void test_longest_wait_goes_first(void)
 {
 	struct fixture f;
 
-	set_up_beats(&f);
-	own(&f, 0, 0, 0);
-	g_assert_cmphex(beat(&f, 0, ROOM_FOR_TWO), ==, 0x14);
-	own(&f, 0, 0, 20);
-	own(&f, 4, 4, 0);
-	g_assert_cmphex(beat(&f, 0x14, ROOM_FOR_TWO), ==, 0x44);
+	set_up_heartbeats(&f);
+	set_owned(&f, 0, 0, 0);
+	g_assert_cmphex(exchange_heartbeat(&f, 0, ROOM_FOR_TWO), ==, 0x14);
+	set_owned(&f, 0, 0, 20);
+	set_owned(&f, 4, 4, 0);
+	g_assert_cmphex(exchange_heartbeat(&f, 0x14, ROOM_FOR_TWO), ==, 0x44);
 	grants_finish(&f.g);
 }
 
 int main(int argc, char **argv)
 {
 	g_test_init(&argc, &argv, NULL);
-	g_test_add_func("/grants/answered", test_granted_when_answered);
+	g_test_add_func("/grants/answered", test_held_once_answered);
 	g_test_add_func("/grants/lease", test_hold_ends_with_lease);
 	g_test_add_func("/grants/no-lease", test_no_hold_without_lease);
 	g_test_add_func("/grants/renewed", test_renewed_in_time);
-	g_test_add_func("/grants/doubt", test_doubt_outlives_release);
-	g_test_add_func("/grants/asked", test_asked_counts_as_held);
+	g_test_add_func("/grants/doubt", test_in_doubt_outlives_release);
+	g_test_add_func("/grants/asked", test_in_flight_counts_as_held);
 	g_test_add_func("/grants/release-again", test_release_repeated);
 	g_test_add_func("/grants/handover", test_handover);
-	g_test_add_func("/grants/fenced", test_fenced_alone);
-	g_test_add_func("/grants/past", test_past_is_accounted_for);
+	g_test_add_func("/grants/fenced", test_fenced_shard_is_isolated);
+	g_test_add_func("/grants/past", test_prev_process_grants_count);
 	g_test_add_func("/grants/higher-fence-ends-doubt",
 			test_higher_fence_ends_doubt);
 	g_test_add_func("/grants/past-covers-longest-hold",
-			test_past_covers_longest_hold);
-	g_test_add_func("/grants/past-kept", test_past_kept_until_joined);
-	g_test_add_func("/grants/new-life", test_new_life_gives_all_back);
-	g_test_add_func("/grants/ended", test_ended_server_holds_nothing);
-	g_test_add_func("/grants/misdirected", test_misdirected_is_given_anew);
-	g_test_add_func("/grants/lapse", test_lapse_lets_nothing_go);
-	g_test_add_func("/grants/left-out", test_left_out_is_not_granted);
-	g_test_add_func("/grants/left-out-held", test_left_out_counts_as_held);
+			test_prev_process_wait_is_long_enough);
+	g_test_add_func("/grants/past-kept",
+			test_prev_process_grants_kept_until_joined);
+	g_test_add_func("/grants/new-life", test_new_instance_releases_all);
+	g_test_add_func("/grants/ended", test_stopped_server_holds_nothing);
+	g_test_add_func("/grants/misdirected",
+			test_misdirected_is_granted_again);
+	g_test_add_func("/grants/lapse", test_lapse_releases_nothing);
+	g_test_add_func("/grants/left-out", test_omitted_is_not_granted);
+	g_test_add_func("/grants/left-out-held", test_omitted_counts_as_held);
 	g_test_add_func("/grants/held-first", test_held_rows_come_first);
 	g_test_add_func("/grants/longest-wait", test_longest_wait_goes_first);
 	return g_test_run();
--- a/t/test-published.c
+++ b/t/test-published.c
@@ -11,11 +11,11 @@
 #include "util/deflate.h"
 #include "util/result.h"
 
-/* What operators publish comes into force, whatever its size and figures. */
+/* What operators publish comes into force, whatever its size and values. */
 
 #define N_ROUTES 6000
 #define MAX_BYTES (192 * 1024)
-#define RECORD_BYTES (256 * 1024) /* of the store */
+#define RECORD_BYTES (256 * 1024) /* the store's limit on a record */
 
 static json_t *rule(const char *name, const char *path, const char *service)
 {
@@ -47,25 +47,28 @@
 	return rules;
 }
 
-/* Apply what operators published; the caller finishes f. */
+/*
+ * Applies a record published by operators and releases it. The caller finishes
+ * f.
+ */
 static void publish(struct fleet *f, json_t *record)
 {
 	struct operator_records p;
 	json_t *doc, *text, *r;
 	char *dump = json_dumps(record, 0);
-	bool whole = false;
+	bool complete = false;
 
 	operator_records_init(&p);
 	text = json_string(dump);
 	g_assert_true(operator_records_apply(&p, "config", text));
 	doc = operator_records_document(&p, f->document);
 	g_assert_nonnull(doc);
-	while (!whole) {
+	while (!complete) {
 		json_t *changes =
-			changes_between(f->document, doc, MAX_BYTES, &whole);
+			changes_between(f->document, doc, MAX_BYTES, &complete);
 
 		r = record_changes(f->configuration_version, changes,
-				   f->source_offset + 1, whole, 0);
+				   f->source_offset + 1, complete, 0);
 		g_assert_cmpint(fleet_apply(f, f->applied + 1, "", r), ==,
 				RESULT_OK);
 		json_decref(r);
@@ -86,7 +89,11 @@
 	return k ? k->name : NULL;
 }
 
-/* Beyond 4,096 routes the whole configuration was refused, for good. */
+/*
+ * A configuration of more than 4,096 routes must come into force. A bound on
+ * their number would refuse it as a whole, and every later version with as many
+ * routes.
+ */
 static void test_routes_without_bound(void)
 {
 	struct fleet f;
@@ -99,7 +106,7 @@
 	fleet_finish(&f);
 }
 
-/* A route with a long name or path is no reason to tell its callers 404. */
+/* A route with a long name or path must match; its callers must not get 404. */
 static void test_long_names(void)
 {
 	g_autofree char *name = g_strnfill(200, 'n');
@@ -116,8 +123,11 @@
 	fleet_finish(&f);
 }
 
-/* One figure beyond what is used here must not keep the others out. */
-static void test_figures_beyond_bounds(void)
+/*
+ * A value beyond the range used here must not keep the rest of the
+ * configuration from coming into force.
+ */
+static void test_out_of_range_values(void)
 {
 	json_t *rules = json_array();
 	json_t *odd = rule("odd", "/odd/", "records");
@@ -150,7 +160,9 @@
 
 #define N_ROUNDS 400
 
-/* A document like those that operators publish, of few names, at random. */
+/*
+ * A random document like those that operators publish, with few distinct names.
+ */
 static json_t *random_document(GRand *rand, int source)
 {
 	static const char *const services[] = { "records", "bookings", "x" };
@@ -191,9 +203,12 @@
 			 list, "classes", classes, "data_centres");
 }
 
-/* The longest path of the request's host or of any, looked for among all. */
-static const char *plain_match(const json_t *doc, const char *method,
-			       const char *host, const char *path)
+/*
+ * Searches all classes for the longest path that matches, of the request's host
+ * or of any host.
+ */
+static const char *linear_match(const json_t *doc, const char *method,
+				const char *host, const char *path)
 {
 	const char *best = NULL;
 	size_t best_rank = 0;
@@ -234,12 +249,15 @@
 			path[j] = "ab/"[g_rand_int_range(rand, 0, 3)];
 		k = configuration_match(cfg, method, host, path);
 		g_assert_cmpstr(k ? k->name : NULL, ==,
-				plain_match(doc, method, host, path));
+				linear_match(doc, method, host, path));
 	}
 }
 
-/* One after the other, in parts of any size, changes lead to what was meant. */
-static void test_changes_lead_to_the_same(void)
+/*
+ * Changes split into parts of any size, applied one after the other, must lead
+ * to the intended document.
+ */
+static void test_changes_reproduce_document(void)
 {
 	GRand *rand = g_rand_new_with_seed(28);
 	struct fleet f;
@@ -249,13 +267,13 @@
 	for (i = 1; i <= N_ROUNDS; i++) {
 		json_t *doc = random_document(rand, i);
 		size_t max = g_rand_int_range(rand, 1, 4000);
-		bool whole = false;
+		bool complete = false;
 
-		while (!whole) {
-			json_t *changes =
-				changes_between(f.document, doc, max, &whole);
+		while (!complete) {
+			json_t *changes = changes_between(f.document, doc, max,
+							  &complete);
 			json_t *r = record_changes(f.configuration_version,
-						   changes, i, whole, 0);
+						   changes, i, complete, 0);
 
 			g_assert_cmpint(fleet_apply(&f, f.applied + 1, "", r),
 					==, RESULT_OK);
@@ -269,14 +287,17 @@
 	g_rand_free(rand);
 }
 
-/* A change of one of thousands of routes is short, whoever has to hear of it. */
+/*
+ * A change to one of thousands of routes must be short, however many nodes have
+ * to read it.
+ */
 static void test_small_change_is_short(void)
 {
 	json_t *before = json_pack("{s:i,s:[{s:s}],s:o,s:[]}", "source", 1,
 				   "services", "name", "records", "classes",
 				   json_array(), "data_centres");
 	json_t *after, *changes;
-	bool whole;
+	bool complete;
 	int i;
 
 	for (i = 0; i < N_ROUTES; i++)
@@ -291,16 +312,16 @@
 					   77),
 			    "target_ms", json_integer(6));
 	json_object_set_new(after, "source", json_integer(2));
-	changes = changes_between(before, after, MAX_BYTES, &whole);
-	g_assert_true(whole);
+	changes = changes_between(before, after, MAX_BYTES, &complete);
+	g_assert_true(complete);
 	g_assert_cmpuint(json_dumpb(changes, NULL, 0, JSON_COMPACT), <, 300);
 	json_decref(changes);
 	json_decref(before);
 	json_decref(after);
 }
 
-/* A change that is broken leaves what was in force whole. */
-static void test_broken_changes(void)
+/* Malformed changes must leave the configuration in force unchanged. */
+static void test_malformed_changes(void)
 {
 	static const char *const texts[] = {
 		"{}",
@@ -336,8 +357,8 @@
 	fleet_finish(&f);
 }
 
-static void take_text(struct operator_records *p, const char *key,
-		      const char *text)
+static void apply_text(struct operator_records *p, const char *key,
+		       const char *text)
 {
 	json_t *value = text ? json_string(text) : json_null();
 
@@ -355,8 +376,8 @@
 	return version;
 }
 
-static uint32_t n_evacuated(const struct operator_records *p,
-			    const json_t *in_force)
+static uint32_t count_evacuated(const struct operator_records *p,
+				const json_t *in_force)
 {
 	json_t *doc = operator_records_document(p, in_force);
 	uint32_t n = json_array_size(json_object_get(doc, "data_centres"));
@@ -365,7 +386,10 @@
 	return n;
 }
 
-/* A configuration that cannot be used must not keep evacuations out. */
+/*
+ * A configuration that cannot be used must not keep evacuations from coming
+ * into force.
+ */
 static void test_evacuation_after_unusable(void)
 {
 	static const char *const unusable[] = { "{\"version\":", "7",
@@ -375,21 +399,21 @@
 	GLogLevelFlags fatal;
 	uint32_t i;
 
-	/* What cannot be used may be warned of. */
+	/* Warnings of unusable configurations are expected. */
 	fatal = g_log_set_always_fatal(G_LOG_FATAL_MASK | G_LOG_LEVEL_CRITICAL);
 	for (i = 0; i < G_N_ELEMENTS(unusable); i++) {
 		struct operator_records p;
 		json_t *in_force;
 
 		operator_records_init(&p);
-		take_text(&p, "config", text);
+		apply_text(&p, "config", text);
 		in_force = operator_records_document(&p, NULL);
-		take_text(&p, "config", unusable[i]);
-		take_text(&p, "evacuate/hakata", "{}");
+		apply_text(&p, "config", unusable[i]);
+		apply_text(&p, "evacuate/hakata", "{}");
 		g_assert_cmpint(version_of_document(&p, in_force), ==, 5);
-		g_assert_cmpuint(n_evacuated(&p, in_force), ==, 1);
-		take_text(&p, "evacuate/hakata", NULL);
-		g_assert_cmpuint(n_evacuated(&p, in_force), ==, 0);
+		g_assert_cmpuint(count_evacuated(&p, in_force), ==, 1);
+		apply_text(&p, "evacuate/hakata", NULL);
+		g_assert_cmpuint(count_evacuated(&p, in_force), ==, 0);
 		json_decref(in_force);
 		operator_records_finish(&p);
 	}
@@ -398,7 +422,10 @@
 	json_decref(record);
 }
 
-/* A usable configuration that is not in force yet outlives an unusable one. */
+/*
+ * A usable configuration that is not in force yet must be kept when an unusable
+ * one follows.
+ */
 static void test_unusable_before_in_force(void)
 {
 	json_t *record = operators_record(5, many_rules(3));
@@ -408,8 +435,8 @@
 
 	fatal = g_log_set_always_fatal(G_LOG_FATAL_MASK | G_LOG_LEVEL_CRITICAL);
 	operator_records_init(&p);
-	take_text(&p, "config", text);
-	take_text(&p, "config", "{\"version\":");
+	apply_text(&p, "config", text);
+	apply_text(&p, "config", "{\"version\":");
 	g_assert_cmpint(version_of_document(&p, NULL), ==, 5);
 	operator_records_finish(&p);
 	g_log_set_always_fatal(fatal);
@@ -435,14 +462,17 @@
 			 "name", "records", "classes", classes, "data_centres");
 }
 
-/* No number of routes that go makes a record that the store refuses. */
+/*
+ * However many routes are removed at once, the record must not be so long that
+ * the store refuses it.
+ */
 static void test_removal_within_a_record(void)
 {
 	GRand *rand = g_rand_new_with_seed(28);
 	json_t *before = random_routes(rand, 40000);
 	json_t *after = random_routes(rand, 1);
-	bool whole;
-	json_t *changes = changes_between(before, after, MAX_BYTES, &whole);
+	bool complete;
+	json_t *changes = changes_between(before, after, MAX_BYTES, &complete);
 	char *text = json_dumps(changes, JSON_COMPACT);
 	GString *packed = deflate_bytes(text, strlen(text));
 
@@ -462,12 +492,12 @@
 			test_routes_without_bound);
 	g_test_add_func("/published/long-names", test_long_names);
 	g_test_add_func("/published/figures-beyond-bounds",
-			test_figures_beyond_bounds);
+			test_out_of_range_values);
 	g_test_add_func("/published/changes-lead-to-the-same",
-			test_changes_lead_to_the_same);
+			test_changes_reproduce_document);
 	g_test_add_func("/published/small-change-is-short",
 			test_small_change_is_short);
-	g_test_add_func("/published/broken-changes", test_broken_changes);
+	g_test_add_func("/published/broken-changes", test_malformed_changes);
 	g_test_add_func("/published/evacuation-after-unusable",
 			test_evacuation_after_unusable);
 	g_test_add_func("/published/unusable-before-in-force",
--- a/t/test-recovery.c
+++ b/t/test-recovery.c
@@ -3,45 +3,51 @@
 #include "util/result.h"
 
 /*
- * What becomes of keys whose backend servers hold them by grants, when
- * processes are killed beside them.
+ * What happens to keys that backend servers hold by grants when the processes
+ * of their nodes are killed.
  */
 
-/* A fleet whose servers hold by grants, at rest for a while. */
+/*
+ * A fleet whose backend servers hold shards by grants, run for settle_ms after
+ * it has converged.
+ */
 static void start_granted(struct sim *s, uint32_t seed, uint32_t rules,
-			  int64_t quiet_ms)
+			  int64_t settle_ms)
 {
 	sim_init_grant_by_heartbeat(s, seed, rules);
 	s->verbose = g_getenv("VERBOSE") != NULL;
 	g_assert_true(sim_run_until_served(s, 20000));
-	sim_run(s, quiet_ms);
+	sim_run(s, settle_ms);
 }
 
-static uint64_t heir_forgets(uint32_t seed, uint32_t rules)
+static uint64_t successor_restarts(uint32_t seed, uint32_t rules)
 {
 	struct fleet_service *sv;
 	struct sim s;
 	uint64_t breaches;
-	int owner, heir;
+	int owner, successor;
 
 	start_granted(&s, seed, rules, 30000);
 	sv = fleet_service(sim_newest_state(&s), "records");
 	owner = sim_slot_of_member(&s, sv->shards[0].owner);
-	heir = sim_slot_of_member(&s, sv->shards[0].successor);
-	/* The heir takes over, and the log does not hear of it. */
+	successor = sim_slot_of_member(&s, sv->shards[0].successor);
+	/* The successor takes over while the log is down. */
 	s.log_down_until_ms = s.now_ms + 100000;
 	sim_kill(&s, owner);
 	sim_run(&s, 8000);
-	g_assert_cmpint(sim_serving_slot(&s, 0), ==, heir);
-	/* Both are back; the heir's server reports before the log is read. */
+	g_assert_cmpint(sim_serving_slot(&s, 0), ==, successor);
+	/*
+	 * Both start again. The successor's server sends a heartbeat before the
+	 * node has read the log.
+	 */
 	s.log_down_until_ms = 0;
-	sim_kill(&s, heir);
-	sim_start(&s, heir);
-	s.nodes[heir].log_unreachable = true;
-	s.nodes[heir].backend.next_heartbeat_at_ms = s.now_ms;
+	sim_kill(&s, successor);
+	sim_start(&s, successor);
+	s.nodes[successor].log_unreachable = true;
+	s.nodes[successor].backend.next_heartbeat_at_ms = s.now_ms;
 	sim_run(&s, 3 * SIM_STEP_MS);
-	s.nodes[heir].log_unreachable = false;
-	s.nodes[heir].backend.next_heartbeat_at_ms = s.now_ms + 10000;
+	s.nodes[successor].log_unreachable = false;
+	s.nodes[successor].backend.next_heartbeat_at_ms = s.now_ms + 10000;
 	sim_start(&s, owner);
 	s.nodes[owner].backend.next_heartbeat_at_ms = s.now_ms;
 	sim_run(&s, 4000);
@@ -51,21 +57,23 @@
 }
 
 /*
- * An heir takes over a key while the log is away, and its process is killed
- * beside a server that goes on serving it. Then the owner is back and asks the
- * heir's new process, which knows of nothing it holds. Taken for free, the key
- * would be served by two servers.
+ * A successor takes over a key while the log is down. Then its process is
+ * killed while its backend server keeps serving the key. The owner starts again
+ * and sends a release request to the successor's new process, which does not
+ * know what its server holds. If that process answered that the key is free,
+ * two servers would serve it.
  */
-static void test_heir_forgets(void)
+static void test_successor_restarts(void)
 {
-	uint64_t without = 0;
+	uint64_t breaches_without_rule = 0;
 	uint32_t seed;
 
 	for (seed = 1; seed <= 10; seed++) {
-		g_assert_cmpuint(heir_forgets(seed, 0), ==, 0);
-		without += heir_forgets(seed, RULE_SERVER_REPORTS_FIRST);
+		g_assert_cmpuint(successor_restarts(seed, 0), ==, 0);
+		breaches_without_rule +=
+			successor_restarts(seed, RULE_SERVER_REPORTS_FIRST);
 	}
-	g_assert_cmpuint(without, >, 0);
+	g_assert_cmpuint(breaches_without_rule, >, 0);
 }
 
 static uint64_t late_call(uint32_t seed, uint32_t grant_rules)
@@ -77,7 +85,7 @@
 	struct sim s;
 	uint64_t breaches;
 	int64_t fence;
-	int owner, heir;
+	int owner, successor;
 
 	sim_init_grant_by_call(&s, seed, grant_rules);
 	s.verbose = g_getenv("VERBOSE") != NULL;
@@ -85,13 +93,13 @@
 	sim_run(&s, 15000);
 	sv = fleet_service(sim_newest_state(&s), "records");
 	owner = sim_slot_of_member(&s, sv->shards[0].owner);
-	heir = sim_slot_of_member(&s, sv->shards[0].successor);
-	nd = &s.nodes[heir];
+	successor = sim_slot_of_member(&s, sv->shards[0].successor);
+	nd = &s.nodes[successor];
 	s.log_down_until_ms = s.now_ms + 100000;
 	sim_kill(&s, owner);
-	while (sim_serving_slot(&s, 0) != heir)
+	while (sim_serving_slot(&s, 0) != successor)
 		sim_step(&s);
-	/* Sent as the heir is killed, and carried out as its hold would end. */
+	/* Sent when the successor is killed, carried out when its hold ends. */
 	g_assert_true(member_holds(&nd->member, 0, &fence));
 	late.call.row.fence = fence;
 	late.call.hold_ms = 2200;
@@ -108,28 +116,32 @@
 }
 
 /*
- * An heir that has taken a key over is killed with a call in doubt. Its new
- * process asks the key back, its server says that it is free, the owner that is
- * back takes it, and then the heir's server carries the call out.
+ * A successor that has taken over a key is killed with a call in doubt. Its new
+ * process requests the release of the key, its server acknowledges that, and
+ * the restarted owner serves the key. Then the successor's server carries out
+ * the call in doubt. If the key had counted as free before that, two servers
+ * would serve it.
  */
 static void test_late_call(void)
 {
-	uint64_t without = 0;
+	uint64_t breaches_without_rule = 0;
 	uint32_t seed;
 
 	for (seed = 1; seed <= 10; seed++) {
 		g_assert_cmpuint(late_call(seed, 0), ==, 0);
-		without += late_call(seed, GRANT_RULE_PREV_PROCESS_IN_DOUBT);
+		breaches_without_rule +=
+			late_call(seed, GRANT_RULE_PREV_PROCESS_IN_DOUBT);
 	}
-	g_assert_cmpuint(without, >, 0);
+	g_assert_cmpuint(breaches_without_rule, >, 0);
 }
 
 /*
- * Each change that every node read from the log itself would cost as many calls
- * as there are nodes. A few read, and the others must have it as soon. Reads
- * for one change by eight nodes: eight before, four now.
+ * If every node read each change from the log, a change would cost as many
+ * calls as there are nodes. A few nodes read it, and the others must get it as
+ * soon. Reads for one change by eight nodes: eight without relays, four with
+ * them.
  */
-static void test_passed_on(void)
+static void test_records_are_relayed(void)
 {
 	uint64_t reads = 0;
 	struct sim s;
@@ -149,8 +161,11 @@
 	sim_finish(&s);
 }
 
-/* The new process finds a snapshot in the log, and no record before it. */
-static void restart_beside_server(struct sim *s, int slot)
+/*
+ * Restarts the process of a node while its backend server keeps running. The
+ * new process finds a snapshot in the log and no record before it.
+ */
+static void restart_node_beside_server(struct sim *s, int slot)
 {
 	struct sim_node *nd = &s->nodes[slot];
 	json_t *snapshot = fleet_snapshot(sim_newest_state(s));
@@ -164,7 +179,7 @@
 	nd->backend.next_heartbeat_at_ms = s->now_ms;
 }
 
-static uint64_t unknown_past(uint32_t seed, uint32_t rules)
+static uint64_t unknown_record_age(uint32_t seed, uint32_t rules)
 {
 	struct fleet_service *sv;
 	struct sim s;
@@ -176,12 +191,14 @@
 	a = sv->shards[0].owner;
 	x = sim_other_member(&s, a, sv->shards[0].successor, 0);
 	sim_append_move(&s, 0, x, sim_other_member(&s, a, x, 0));
-	restart_beside_server(&s, sim_slot_of_member(&s, a));
+	restart_node_beside_server(&s, sim_slot_of_member(&s, a));
 	sim_run(&s, 200);
-	/* The first server holds on, and hears of nothing. */
+	/*
+	 * The previous owner's server keeps its holds and sends no heartbeat.
+	 */
 	s.nodes[s.top_fence_slot[0]].backend.next_heartbeat_at_ms =
 		s.now_ms + 10000;
-	restart_beside_server(&s, sim_slot_of_member(&s, x));
+	restart_node_beside_server(&s, sim_slot_of_member(&s, x));
 	sim_run(&s, 6000);
 	breaches = s.breaches;
 	sim_finish(&s);
@@ -189,61 +206,64 @@
 }
 
 /*
- * A key moves, and its old owner's process is killed before it lets go, beside
- * a server that goes on serving it for the time granted. The new owner knows
- * when that was and waits; then its process is killed too. The next one finds
- * the records in the log, and not how old they are. Serving at once, it would
- * give the key a second server.
+ * A key moves, and the process of its previous owner is killed before it
+ * releases the key, while its backend server serves the key until its grant
+ * ends. The new owner knows when the key moved and waits; then its process is
+ * killed too. Its next process finds the records in the log but not how old
+ * they are. If it served the key at once, two servers would serve it.
  */
-static void test_unknown_past(void)
+static void test_unknown_record_age(void)
 {
-	uint64_t without = 0;
+	uint64_t breaches_without_rule = 0;
 	uint32_t seed;
 
 	for (seed = 1; seed <= 10; seed++) {
-		g_assert_cmpuint(unknown_past(seed, 0), ==, 0);
-		without += unknown_past(seed, RULE_WAIT_AFTER_START);
+		g_assert_cmpuint(unknown_record_age(seed, 0), ==, 0);
+		breaches_without_rule +=
+			unknown_record_age(seed, RULE_WAIT_AFTER_START);
 	}
-	g_assert_cmpuint(without, >, 0);
+	g_assert_cmpuint(breaches_without_rule, >, 0);
 }
 
+/* Bits of the argument of test_all_killed(). */
+#define ALL_WITH_SERVERS 1 /* the backend servers stop as well */
+#define ALL_BY_CALL 2 /* the backend servers get grants by calls */
+#define ALL_TWICE 4 /* everything is killed twice */
+
 /*
  * Every process is killed at once, or every host loses power, and all start
- * again a second later, each naming its neighbours as witnesses by processes
- * that are gone. Callers find no owner for any key until leases are had again;
- * the users' bound for a key is three seconds. The second time the log tells of
- * the first, and is read before the server beside has been heard: taken for
- * news, the restarts in it would have every key wait for a lease's length.
+ * again a second later. The witnesses of each member are processes that no
+ * longer run, so no key has an owner until leases are granted again; the users'
+ * bound for a key is three seconds. When all are killed a second time, the log
+ * contains the restarts of the first time, and is read before the first
+ * heartbeat of the backend server. If those old restarts counted as new ones,
+ * every key would wait for the length of a lease.
  */
-#define ALL_SERVERS 1 /* the servers end as well */
-#define ALL_CALLED 2 /* they are told by calls what they hold */
-#define ALL_AGAIN 4 /* and all of it for the second time */
-
 static void test_all_killed(gconstpointer data)
 {
-	uint32_t how = GPOINTER_TO_UINT(data);
+	uint32_t variant = GPOINTER_TO_UINT(data);
 	int64_t longest = 0;
 	uint32_t seed;
 
 	for (seed = 1; seed <= 20; seed++) {
 		struct sim s;
-		int64_t began;
+		int64_t started_at_ms;
 
-		if (how & ALL_CALLED)
+		if (variant & ALL_BY_CALL)
 			sim_init_grant_by_call(&s, seed, 0);
 		else
 			sim_init_grant_by_heartbeat(&s, seed, 0);
 		s.verbose = g_getenv("VERBOSE") != NULL;
 		g_assert_true(sim_run_until_served(&s, 20000));
 		sim_run(&s, 15000);
-		if (how & ALL_AGAIN) {
-			sim_restart_all(&s, how & ALL_SERVERS, 1300);
+		if (variant & ALL_TWICE) {
+			sim_restart_all(&s, variant & ALL_WITH_SERVERS, 1300);
 			sim_run(&s, 15000);
 		}
-		sim_restart_all(&s, how & ALL_SERVERS, 1300);
-		began = s.now_ms;
+		sim_restart_all(&s, variant & ALL_WITH_SERVERS, 1300);
+		started_at_ms = s.now_ms;
 		sim_run_until_served(&s, 30000);
-		longest = MAX(longest, s.now_ms - began);
+		longest = MAX(longest, s.now_ms - started_at_ms);
 		g_assert_cmpuint(s.breaches, ==, 0);
 		g_assert_cmpuint(s.fence_breaches, ==, 0);
 		sim_finish(&s);
@@ -260,20 +280,21 @@
 	g_test_init(&argc, &argv, NULL);
 	g_test_add_data_func("/recovery/all-killed", NULL, test_all_killed);
 	g_test_add_data_func("/recovery/all-without-power",
-			     GUINT_TO_POINTER(ALL_SERVERS), test_all_killed);
+			     GUINT_TO_POINTER(ALL_WITH_SERVERS),
+			     test_all_killed);
 	g_test_add_data_func("/recovery/all-killed-by-call",
-			     GUINT_TO_POINTER(ALL_CALLED), test_all_killed);
+			     GUINT_TO_POINTER(ALL_BY_CALL), test_all_killed);
 	g_test_add_data_func("/recovery/all-without-power-by-call",
-			     GUINT_TO_POINTER(ALL_SERVERS | ALL_CALLED),
+			     GUINT_TO_POINTER(ALL_WITH_SERVERS | ALL_BY_CALL),
 			     test_all_killed);
 	g_test_add_data_func("/recovery/all-killed-again",
-			     GUINT_TO_POINTER(ALL_AGAIN), test_all_killed);
+			     GUINT_TO_POINTER(ALL_TWICE), test_all_killed);
 	g_test_add_data_func("/recovery/all-killed-again-by-call",
-			     GUINT_TO_POINTER(ALL_CALLED | ALL_AGAIN),
+			     GUINT_TO_POINTER(ALL_BY_CALL | ALL_TWICE),
 			     test_all_killed);
-	g_test_add_func("/recovery/unknown-past", test_unknown_past);
-	g_test_add_func("/recovery/heir-forgets", test_heir_forgets);
+	g_test_add_func("/recovery/unknown-past", test_unknown_record_age);
+	g_test_add_func("/recovery/heir-forgets", test_successor_restarts);
 	g_test_add_func("/recovery/late-call", test_late_call);
-	g_test_add_func("/recovery/passed-on", test_passed_on);
+	g_test_add_func("/recovery/passed-on", test_records_are_relayed);
 	return g_test_run();
 }
--- a/t/test-route.c
+++ b/t/test-route.c
@@ -6,8 +6,8 @@
 #include "util/result.h"
 
 /*
- * In a bad minute every request fails once. Retries must stay a small part of
- * the load, or they keep the minute bad.
+ * For a while every request fails once. Retries must stay a small part of the
+ * load, or they would prolong the overload.
  */
 static void test_budget_bounds_retries(void)
 {
@@ -24,8 +24,9 @@
 	g_assert_cmpint(spent, >=, 90);
 }
 
-static int share_of(struct chooser *c, const struct gate_option *ids,
-		    uint32_t n, int64_t id, int64_t now)
+/* How often, in 1000 choices, the gate of that id is chosen. */
+static int count_picks(struct chooser *c, const struct gate_option *ids,
+		       uint32_t n, int64_t id, int64_t now)
 {
 	int got = 0;
 	int i;
@@ -36,11 +37,11 @@
 }
 
 /*
- * A server does not hold the keys that its node thinks it does, and turns their
- * requests away. Each that is sent on to another server is a repeat, and a
- * storm of them would double the load of a service that is short already.
+ * A server does not hold keys that its node granted to it, and refuses requests
+ * for them. Each of these that is sent to another server is a retry; without a
+ * budget they would double the load of a service that is overloaded already.
  */
-static void test_turned_away_spends_budget(void)
+static void test_misdirected_spends_budget(void)
 {
 	struct retry_budget b;
 	uint32_t sent = 0;
@@ -66,33 +67,33 @@
 
 struct expected {
 	enum attempt_event event;
-	struct plan_attempt unsent; /* what it makes of one that has not left */
-	struct plan_attempt sent; /* and of one that has */
+	struct plan_attempt unsent; /* after it, if not sent before */
+	struct plan_attempt sent; /* after it, if sent before */
 };
 
-#define STAYS(s)                                   \
+#define OPEN(s)                                    \
 	{                                          \
 		.state = ATTEMPT_##s, .open = true \
 	}
-#define ENDS(s)                                     \
+#define CLOSED(s)                                   \
 	{                                           \
 		.state = ATTEMPT_##s, .open = false \
 	}
 
 static const struct expected table[] = {
-	{ ATTEMPT_EVENT_SENT, STAYS(SENT), STAYS(SENT) },
-	{ ATTEMPT_EVENT_UNSENT, ENDS(NOT_SENT), STAYS(SENT) },
-	{ ATTEMPT_EVENT_REFUSED, ENDS(NOT_RUN), ENDS(NOT_RUN) },
-	{ ATTEMPT_EVENT_SERVER_REFUSED, ENDS(NOT_RUN), ENDS(NOT_RUN) },
-	{ ATTEMPT_EVENT_ANSWER_LOST, ENDS(STARTED), ENDS(STARTED) },
-	{ ATTEMPT_EVENT_SERVER_LATE, ENDS(STARTED), ENDS(STARTED) },
-	{ ATTEMPT_EVENT_IN_DOUBT, ENDS(UNKNOWN), ENDS(UNKNOWN) },
-	{ ATTEMPT_EVENT_INVALID_ANSWER, ENDS(STARTED), ENDS(STARTED) },
-	{ ATTEMPT_EVENT_LEASE_OVER, ENDS(NOT_SENT), STAYS(SENT) },
-	{ ATTEMPT_EVENT_PROCESS_ENDED, ENDS(NOT_SENT), ENDS(UNKNOWN) },
-	{ ATTEMPT_EVENT_TIMEOUT, ENDS(NOT_SENT), ENDS(UNKNOWN) },
-	{ ATTEMPT_EVENT_STOPPING, ENDS(NOT_SENT), ENDS(UNKNOWN) },
-	{ ATTEMPT_EVENT_ANSWERED, ENDS(ANSWERED), ENDS(ANSWERED) },
+	{ ATTEMPT_EVENT_SENT, OPEN(SENT), OPEN(SENT) },
+	{ ATTEMPT_EVENT_UNSENT, CLOSED(NOT_SENT), OPEN(SENT) },
+	{ ATTEMPT_EVENT_REFUSED, CLOSED(NOT_RUN), CLOSED(NOT_RUN) },
+	{ ATTEMPT_EVENT_SERVER_REFUSED, CLOSED(NOT_RUN), CLOSED(NOT_RUN) },
+	{ ATTEMPT_EVENT_ANSWER_LOST, CLOSED(STARTED), CLOSED(STARTED) },
+	{ ATTEMPT_EVENT_SERVER_LATE, CLOSED(STARTED), CLOSED(STARTED) },
+	{ ATTEMPT_EVENT_IN_DOUBT, CLOSED(UNKNOWN), CLOSED(UNKNOWN) },
+	{ ATTEMPT_EVENT_INVALID_ANSWER, CLOSED(STARTED), CLOSED(STARTED) },
+	{ ATTEMPT_EVENT_LEASE_OVER, CLOSED(NOT_SENT), OPEN(SENT) },
+	{ ATTEMPT_EVENT_PROCESS_ENDED, CLOSED(NOT_SENT), CLOSED(UNKNOWN) },
+	{ ATTEMPT_EVENT_TIMEOUT, CLOSED(NOT_SENT), CLOSED(UNKNOWN) },
+	{ ATTEMPT_EVENT_STOPPING, CLOSED(NOT_SENT), CLOSED(UNKNOWN) },
+	{ ATTEMPT_EVENT_ANSWERED, CLOSED(ANSWERED), CLOSED(ANSWERED) },
 };
 
 static void check_attempt(const struct plan_attempt *is,
@@ -109,7 +110,7 @@
 	g_assert_cmpuint(G_N_ELEMENTS(table), ==, ATTEMPT_N_EVENTS);
 	for (i = 0; i < ATTEMPT_N_EVENTS; i++) {
 		struct plan p = { 0 };
-		struct plan_attempt end;
+		struct plan_attempt closed;
 
 		g_assert_cmpint(plan_add_attempt(&p), ==, 0);
 		g_assert_cmpint(plan_add_attempt(&p), ==, 1);
@@ -121,17 +122,21 @@
 		if (p.attempts[1].open)
 			continue;
 		g_assert_cmpint(p.attempts[1].last_event, ==, table[i].event);
-		/* Nothing moves it any more. */
-		end = p.attempts[1];
+		/* Further events do not change a closed attempt. */
+		closed = p.attempts[1];
 		for (j = 0; j < ATTEMPT_N_EVENTS; j++)
 			plan_attempt_event(&p, 1, j);
-		check_attempt(&p.attempts[1], &end);
-		g_assert_cmpint(p.attempts[1].last_event, ==, end.last_event);
+		check_attempt(&p.attempts[1], &closed);
+		g_assert_cmpint(p.attempts[1].last_event, ==,
+				closed.last_event);
 	}
 }
 
-/* "Not run" of one attempt: it never left, or the gate or the server said so. */
-static bool may_be_refused(const struct plan_attempt *a)
+/*
+ * Whether an attempt certainly did not run: it was not sent, or the gate or the
+ * backend server refused it.
+ */
+static bool certainly_not_run(const struct plan_attempt *a)
 {
 	return a->state == ATTEMPT_NOT_SENT ||
 	       (a->state == ATTEMPT_NOT_RUN &&
@@ -139,7 +144,7 @@
 		 a->last_event == ATTEMPT_EVENT_SERVER_REFUSED));
 }
 
-/* Every two attempts, each after every two events. */
+/* All pairs of attempts, each after all pairs of events. */
 static void test_outcome_follows_from_attempts(void)
 {
 	const uint32_t n = ATTEMPT_N_EVENTS;
@@ -158,7 +163,7 @@
 		plan_attempt_event(&p, 1, i / n / n / n);
 		answered = a[0].state == ATTEMPT_ANSWERED ||
 			   a[1].state == ATTEMPT_ANSWERED;
-		refused = may_be_refused(&a[0]) && may_be_refused(&a[1]);
+		refused = certainly_not_run(&a[0]) && certainly_not_run(&a[1]);
 		g_assert_cmpint(plan_outcome(&p), ==,
 				answered  ? PLAN_ANSWERED
 				: refused ? PLAN_NOT_RUN
@@ -174,8 +179,8 @@
 			      .max_servers = 2 };
 }
 
-static enum plan_step end(struct plan *p, enum attempt_event why,
-			  int64_t now_ms)
+static enum plan_step end_attempt(struct plan *p, enum attempt_event why,
+				  int64_t now_ms)
 {
 	struct retry_budget b;
 
@@ -183,32 +188,35 @@
 	return plan_attempt_ended(p, p->tries - 1, why, &b, 0, now_ms);
 }
 
-/* A booking for a gate whose process has ended goes to another gate. */
-static void test_unsent_booking_goes_on(void)
+/* A booking for a gate whose process has stopped is sent to another gate. */
+static void test_unsent_attempt_is_retried(void)
 {
 	struct plan p = booking();
 	enum plan_step step = PLAN_SEND;
 	uint32_t n;
 
 	plan_add_attempt(&p);
-	g_assert_cmpint(end(&p, ATTEMPT_EVENT_UNSENT, 10), ==, PLAN_SEND);
+	g_assert_cmpint(end_attempt(&p, ATTEMPT_EVENT_UNSENT, 10), ==,
+			PLAN_SEND);
 	plan_add_attempt(&p);
 	plan_attempt_event(&p, 1, ATTEMPT_EVENT_SENT);
-	g_assert_cmpint(end(&p, ATTEMPT_EVENT_TIMEOUT, 20), ==, PLAN_UNKNOWN);
+	g_assert_cmpint(end_attempt(&p, ATTEMPT_EVENT_TIMEOUT, 20), ==,
+			PLAN_UNKNOWN);
 	p = booking();
 	plan_add_attempt(&p);
-	g_assert_cmpint(end(&p, ATTEMPT_EVENT_TIMEOUT, 1000), ==, PLAN_REFUSE);
-	/* With no gate in reach the caller is told so, not kept waiting. */
+	g_assert_cmpint(end_attempt(&p, ATTEMPT_EVENT_TIMEOUT, 1000), ==,
+			PLAN_REFUSE);
+	/* If no gate can be reached, the request is refused without waiting. */
 	p = booking();
 	for (n = 0; n < PLAN_MAX_TRIES && step == PLAN_SEND; n++) {
 		plan_add_attempt(&p);
-		step = end(&p, ATTEMPT_EVENT_UNSENT, 100);
+		step = end_attempt(&p, ATTEMPT_EVENT_UNSENT, 100);
 	}
 	g_assert_cmpint(step, ==, PLAN_REFUSE);
 	g_assert_cmpuint(n, <=, 4);
 }
 
-/* Each way to an answer "may have run" has a cause of its own. */
+/* Each event after which a request may have run has its own cause. */
 static void test_causes(void)
 {
 	static const struct {
@@ -243,7 +251,7 @@
 			PLAN_CAUSE_lease_over);
 }
 
-/* Attempts beyond the table's room are not made. */
+/* Attempts beyond PLAN_MAX_TRIES are refused. */
 static void test_tries_are_bounded(void)
 {
 	struct plan p = { 0 };
@@ -255,8 +263,9 @@
 }
 
 /*
- * One backend server stalls. Its gate says nothing, so its last word still
- * sounds well; the age of what waits there must turn entries away.
+ * A backend server stalls. Its gate answers nothing, so the last load that it
+ * reported still looks good. The age of the requests without an answer must
+ * make entries avoid it.
  */
 static void test_stalled_gate_is_avoided(void)
 {
@@ -269,13 +278,15 @@
 		chooser_sent(&c, ids[i].member, 0);
 		chooser_answered(&c, ids[i].member, 2, 1, 10, 2);
 	}
-	g_assert_cmpint(share_of(&c, ids, 4, 1, 3), >, 150);
+	g_assert_cmpint(count_picks(&c, ids, 4, 1, 3), >, 150);
 	chooser_sent(&c, 1, 3);
-	g_assert_cmpint(share_of(&c, ids, 4, 1, 100), <, 10);
+	g_assert_cmpint(count_picks(&c, ids, 4, 1, 100), <, 10);
 	chooser_finish(&c);
 }
 
-/* All entries fleeing one gate must not meet at a single other one. */
+/*
+ * When all entries avoid one gate, they must not all choose the same other one.
+ */
 static void test_no_herd(void)
 {
 	struct gate_option ids[] = { { 1, 0 }, { 2, 0 }, { 3, 0 }, { 4, 0 } };
@@ -289,7 +300,8 @@
 	}
 	chooser_refused(&c, 1, 100, 2);
 	for (i = 1; i < 3; i++)
-		g_assert_cmpint(share_of(&c, ids, 4, ids[i].member, 3), <, 700);
+		g_assert_cmpint(count_picks(&c, ids, 4, ids[i].member, 3), <,
+				700);
 	chooser_finish(&c);
 }
 
@@ -305,9 +317,9 @@
 }
 
 /*
- * Answers of a class are large and bytes between data centres dear. The gate
- * at home must get the requests, until it is so full that its caller would
- * wait longer than the bytes are worth.
+ * Answers of a class are large, and traffic between data centres is expensive.
+ * The gate in the entry's data centre must get the requests until it is so full
+ * that a caller would wait longer than the saved traffic is worth.
  */
 static void test_near_until_full(void)
 {
@@ -320,18 +332,19 @@
 		chooser_sent(&c, ids[i].member, 0);
 		chooser_answered(&c, ids[i].member, 100, 9, 10, 2);
 	}
-	g_assert_cmpint(share_of(&c, ids, 3, 1, 3), >, 850);
+	g_assert_cmpint(count_picks(&c, ids, 3, 1, 3), >, 850);
 	chooser_sent(&c, 1, 3);
 	chooser_answered(&c, 1, 100, 90, 10, 4);
-	g_assert_cmpint(share_of(&c, ids, 3, 1, 5), <, 50);
+	g_assert_cmpint(count_picks(&c, ids, 3, 1, 5), <, 50);
 	chooser_finish(&c);
 }
 
 /*
- * A server joins, cold. Nothing is known of its gate yet, and entries that take
- * that for quick send it all they have.
+ * A server joins in cold start, and nothing is known of its gate yet. If
+ * entries took that for a low latency, they would send all their requests
+ * there.
  */
-static void test_unknown_is_not_quick(void)
+static void test_unknown_gate_gets_few(void)
 {
 	struct gate_option ids[] = { { 1, 0 }, { 2, 0 }, { 3, 0 }, { 4, 0 } };
 	struct chooser c;
@@ -342,28 +355,28 @@
 		chooser_sent(&c, ids[i].member, 0);
 		chooser_answered(&c, ids[i].member, 100, 5, 18, 2);
 	}
-	g_assert_cmpint(share_of(&c, ids, 4, 4, 3), <, 300);
-	g_assert_cmpint(share_of(&c, ids, 4, 4, 3), >, 20);
+	g_assert_cmpint(count_picks(&c, ids, 4, 4, 3), <, 300);
+	g_assert_cmpint(count_picks(&c, ids, 4, 4, 3), >, 20);
 	chooser_finish(&c);
 }
 
 /*
- * A node that stops refuses all work that needs no key, for seconds, and stays
- * listed meanwhile. With nothing to do it looks the quickest, so that each
- * request would spend one of its few offers there.
+ * A node that stops refuses all requests that need no key, for seconds, and is
+ * listed for that time. Since it is idle it looks like the fastest gate, so
+ * each request would spend one of its few attempts there.
  */
-static void test_stopping_gate_is_left_alone(void)
+static void test_stopping_gate_is_avoided(void)
 {
 	struct gate_option options[] = { { .member = 1 }, { .member = 2 } };
-	const struct chooser_ops *ways[] = { &chooser_soonest,
-					     &chooser_two_choices };
+	const struct chooser_ops *policies[] = { &chooser_soonest,
+						 &chooser_two_choices };
 	uint32_t i, w;
 
-	for (w = 0; w < G_N_ELEMENTS(ways); w++) {
+	for (w = 0; w < G_N_ELEMENTS(policies); w++) {
 		struct chooser c;
 		uint32_t n = 0;
 
-		chooser_init(&c, ways[w], 7);
+		chooser_init(&c, policies[w], 7);
 		chooser_sent(&c, 1, 1000);
 		chooser_answered(&c, 1, 100, 8, 12, 1000);
 		chooser_sent(&c, 2, 1000);
@@ -383,18 +396,17 @@
 {
 	g_test_init(&argc, &argv, NULL);
 	g_test_add_func("/route/budget", test_budget_bounds_retries);
-	g_test_add_func("/route/turned-away", test_turned_away_spends_budget);
+	g_test_add_func("/route/turned-away", test_misdirected_spends_budget);
 	g_test_add_func("/plan/table", test_attempt_table);
 	g_test_add_func("/plan/outcome", test_outcome_follows_from_attempts);
-	g_test_add_func("/plan/unsent-booking", test_unsent_booking_goes_on);
+	g_test_add_func("/plan/unsent-booking", test_unsent_attempt_is_retried);
 	g_test_add_func("/plan/causes", test_causes);
 	g_test_add_func("/plan/tries", test_tries_are_bounded);
 	g_test_add_func("/route/stalled", test_stalled_gate_is_avoided);
 	g_test_add_func("/route/no-herd", test_no_herd);
 	g_test_add_func("/route/except", test_except);
-	g_test_add_func("/route/unknown", test_unknown_is_not_quick);
+	g_test_add_func("/route/unknown", test_unknown_gate_gets_few);
 	g_test_add_func("/route/near-until-full", test_near_until_full);
-	g_test_add_func("/choose/stopping-gate",
-			test_stopping_gate_is_left_alone);
+	g_test_add_func("/choose/stopping-gate", test_stopping_gate_is_avoided);
 	return g_test_run();
 }
--- a/t/test-schedules.c
+++ b/t/test-schedules.c
@@ -7,11 +7,12 @@
 #include "util/result.h"
 
 /*
- * Schedules that the randomised runs meet rarely, driven one by one: each shows
- * that a rule holds, and most that it is needed.
+ * Schedules of events that random runs rarely reach, each driven step by step.
+ * Each test shows that a safety rule holds, and most also show that it is
+ * needed.
  */
 
-static void start_quietly(struct sim *s, uint32_t seed, uint32_t rules)
+static void start_settled(struct sim *s, uint32_t seed, uint32_t rules)
 {
 	sim_init(s, seed, rules);
 	s->verbose = g_getenv("VERBOSE") != NULL;
@@ -20,7 +21,7 @@
 	g_assert_cmpuint(sim_n_unserved(s), ==, 0);
 }
 
-static bool inherits_more(const struct fleet_service *sv, uint32_t shard)
+static bool has_common_successor(const struct fleet_service *sv, uint32_t shard)
 {
 	uint32_t i;
 
@@ -32,17 +33,18 @@
 	return false;
 }
 
-static uint32_t shard_with_common_heir(const struct fleet_service *sv)
+static uint32_t shard_with_common_successor(const struct fleet_service *sv)
 {
 	uint32_t i;
 
 	for (i = 0; i < sv->n_shards; i++)
-		if (inherits_more(sv, i))
+		if (has_common_successor(sv, i))
 			return i;
 	return 0;
 }
 
-static void put_behind(struct sim *s, int64_t process)
+/* For 20 seconds the process gets no records. */
+static void delay_records(struct sim *s, int64_t process)
 {
 	int slot = sim_slot_of_process(s, process);
 
@@ -51,10 +53,11 @@
 }
 
 /*
- * A move that neither the old successor nor the owner's witnesses hear of,
- * while the owner and the new owner do; then the owner dies.
+ * A move that the owner and the new owner read, but neither the previous
+ * successor nor the owner's witnesses do; then the owner is killed. Returns the
+ * number of breaches.
  */
-static uint64_t unheard_move(uint32_t seed, uint32_t rules)
+static uint64_t unread_move(uint32_t seed, uint32_t rules)
 {
 	struct fleet_service *sv;
 	struct sim s;
@@ -64,9 +67,9 @@
 	uint32_t i, j;
 	json_t *r;
 
-	start_quietly(&s, seed, rules);
+	start_settled(&s, seed, rules);
 	sv = fleet_service(sim_newest_state(&s), "records");
-	i = shard_with_common_heir(sv);
+	i = shard_with_common_successor(sv);
 	a = sv->shards[i].owner;
 	b = sv->shards[i].successor;
 	m = fleet_member(sim_newest_state(&s), a);
@@ -78,7 +81,7 @@
 			c = id;
 	}
 	for (j = 0; j < m->witnesses.n; j++)
-		put_behind(&s, m->witnesses.id[j]);
+		delay_records(&s, m->witnesses.id[j]);
 	s.nodes[sim_slot_of_member(&s, b)].no_records_until_ms =
 		s.now_ms + 20000;
 	r = record_move("records", 0, "test");
@@ -97,27 +100,29 @@
 }
 
 /*
- * An owner releases a shard and dies before its witnesses heard of the move.
- * Their promises then let the old successor, which has not heard either, serve
- * a key that the new owner serves.
+ * An owner releases a shard and is killed before its witnesses have read the
+ * move. Their promises would then let the previous successor, which has not
+ * read it either, serve a key that the new owner serves.
  */
-static void test_unheard_move(void)
+static void test_unread_move(void)
 {
-	uint64_t without = 0;
+	uint64_t breaches_without_rule = 0;
 	uint32_t seed;
 
 	for (seed = 1; seed <= 20; seed++) {
-		g_assert_cmpuint(unheard_move(seed, 0), ==, 0);
-		without += unheard_move(seed, RULE_WITNESSES_KNOW_MOVE);
+		g_assert_cmpuint(unread_move(seed, 0), ==, 0);
+		breaches_without_rule +=
+			unread_move(seed, RULE_WITNESSES_KNOW_MOVE);
 	}
-	g_assert_cmpuint(without, >, 0);
+	g_assert_cmpuint(breaches_without_rule, >, 0);
 }
 
 /*
- * A record that names another heir and leaves the owner, which neither the heir
- * before nor the owner's witnesses hear of; then the owner dies.
+ * A record that names another successor and keeps the owner, and that neither
+ * the previous successor nor the owner's witnesses read; then the owner is
+ * killed. Returns the number of fence breaches.
  */
-static uint64_t unheard_heir(uint32_t seed, uint32_t rules)
+static uint64_t unread_successor(uint32_t seed, uint32_t rules)
 {
 	struct fleet_service *sv;
 	struct sim s;
@@ -127,7 +132,7 @@
 	uint32_t j;
 	json_t *r;
 
-	start_quietly(&s, seed, rules);
+	start_settled(&s, seed, rules);
 	sv = fleet_service(sim_newest_state(&s), "records");
 	a = sv->shards[0].owner;
 	b = sv->shards[0].successor;
@@ -137,7 +142,7 @@
 		    s.nodes[j].member.self_id != b)
 			c = s.nodes[j].member.self_id;
 	for (j = 0; j < m->witnesses.n; j++)
-		put_behind(&s, m->witnesses.id[j]);
+		delay_records(&s, m->witnesses.id[j]);
 	s.nodes[sim_slot_of_member(&s, b)].no_records_until_ms =
 		s.now_ms + 20000;
 	r = record_move("records", 0, "test");
@@ -155,20 +160,21 @@
 
 /*
  * An owner serves a key under the fence of a record that only it has read, and
- * dies. The heir named before it takes over, rightly, under a fence below that:
- * a backend server that checks fences would take late work of the dead owner
- * for newer than its own.
+ * is killed. The successor named before takes over correctly, but under a lower
+ * fence. A backend server that checks fences would then take late work of the
+ * killed owner for newer than the successor's.
  */
-static void test_unheard_heir(void)
+static void test_unread_successor(void)
 {
-	uint64_t without = 0;
+	uint64_t breaches_without_rule = 0;
 	uint32_t seed;
 
 	for (seed = 1; seed <= 10; seed++) {
-		g_assert_cmpuint(unheard_heir(seed, 0), ==, 0);
-		without += unheard_heir(seed, RULE_WITNESSES_KNOW_FENCE);
+		g_assert_cmpuint(unread_successor(seed, 0), ==, 0);
+		breaches_without_rule +=
+			unread_successor(seed, RULE_WITNESSES_KNOW_FENCE);
 	}
-	g_assert_cmpuint(without, >, 0);
+	g_assert_cmpuint(breaches_without_rule, >, 0);
 }
 
 static uint64_t stale_successor(uint32_t seed, uint32_t rules)
@@ -181,9 +187,9 @@
 	json_t *r;
 	int slot;
 
-	start_quietly(&s, seed, rules);
+	start_settled(&s, seed, rules);
 	sv = fleet_service(sim_newest_state(&s), "records");
-	i = shard_with_common_heir(sv);
+	i = shard_with_common_successor(sv);
 	a = sv->shards[i].owner;
 	b = sv->shards[i].successor;
 	c = sim_other_member(&s, a, b, 0);
@@ -209,23 +215,24 @@
 }
 
 /*
- * A shard moves while its old successor gets no records. Then the old owner
- * dies. The successor still believes that the shard is its to inherit, and a
- * user would find two servers answering for the key.
+ * A shard moves while its previous successor gets no records. Then the previous
+ * owner is killed. The previous successor has not read the move and would take
+ * the shard over; two servers would then serve the key.
  */
 static void test_stale_successor(void)
 {
-	uint64_t without = 0;
+	uint64_t breaches_without_rule = 0;
 	uint32_t seed;
 
 	for (seed = 1; seed <= 10; seed++) {
 		g_assert_cmpuint(stale_successor(seed, 0), ==, 0);
-		without += stale_successor(seed, RULE_SUCCESSOR_CATCHES_UP);
+		breaches_without_rule +=
+			stale_successor(seed, RULE_SUCCESSOR_CATCHES_UP);
 	}
-	g_assert_cmpuint(without, >, 0);
+	g_assert_cmpuint(breaches_without_rule, >, 0);
 }
 
-static uint64_t shard_comes_and_goes(uint32_t seed, uint32_t rules)
+static uint64_t shard_moves_repeatedly(uint32_t seed, uint32_t rules)
 {
 	struct fleet_service *sv;
 	struct member_node *na;
@@ -234,7 +241,7 @@
 	uint64_t breaches;
 	json_t *r;
 
-	start_quietly(&s, seed, rules);
+	start_settled(&s, seed, rules);
 	sv = fleet_service(sim_newest_state(&s), "records");
 	a = sv->shards[0].owner;
 	b = sv->shards[0].successor;
@@ -264,51 +271,54 @@
 }
 
 /*
- * A shard leaves, comes back and leaves again while one slow request on it
- * still runs. Told that nobody serves it, the next owner would run a second
- * request beside the slow one.
+ * A shard moves away, back and away again while one slow request on it is still
+ * running. If the next owner were told that no node serves the shard, it would
+ * run a second request beside the slow one.
  */
-static void test_shard_comes_and_goes(void)
+static void test_shard_moves_repeatedly(void)
 {
-	uint64_t without = 0;
+	uint64_t breaches_without_rule = 0;
 	uint32_t seed;
 
 	for (seed = 1; seed <= 10; seed++) {
-		g_assert_cmpuint(shard_comes_and_goes(seed, 0), ==, 0);
-		without += shard_comes_and_goes(seed, RULE_REQUESTS_END_FIRST);
+		g_assert_cmpuint(shard_moves_repeatedly(seed, 0), ==, 0);
+		breaches_without_rule +=
+			shard_moves_repeatedly(seed, RULE_REQUESTS_END_FIRST);
 	}
-	g_assert_cmpuint(without, >, 0);
+	g_assert_cmpuint(breaches_without_rule, >, 0);
 }
 
-/* Runs until the log names b as the owner of shard 0, and b serves it. */
-static void move_and_serve(struct sim *s, int64_t b, int64_t heir)
+/* Moves shard 0 to b and runs until b serves it. */
+static void move_and_serve(struct sim *s, int64_t b, int64_t successor)
 {
 	int64_t end = s->now_ms + 5000;
 
-	sim_append_move(s, 0, b, heir);
+	sim_append_move(s, 0, b, successor);
 	while (s->now_ms < end &&
 	       sim_serving_slot(s, 0) != sim_slot_of_member(s, b))
 		sim_step(s);
 	g_assert_cmpint(sim_serving_slot(s, 0), ==, sim_slot_of_member(s, b));
 }
 
-/* An owner is named another heir after it took a shard, and before it settled
- * that. */
-static void test_heir_before_settling(void)
+/*
+ * A shard gets another successor after its new owner has taken it, and before
+ * the new owner has settled the move.
+ */
+static void test_successor_before_settling(void)
 {
 	uint32_t seed;
 
 	for (seed = 1; seed <= 20; seed++) {
 		const struct shard *sh;
-		int64_t a, heir, b, c;
+		int64_t a, successor, b, c;
 		struct sim s;
 
-		start_quietly(&s, seed, 0);
+		start_settled(&s, seed, 0);
 		sh = fleet_service(sim_newest_state(&s), "records")->shards;
 		a = sh->owner;
-		heir = sh->successor;
-		b = sim_other_member(&s, a, heir, 0);
-		c = sim_other_member(&s, a, heir, b);
+		successor = sh->successor;
+		b = sim_other_member(&s, a, successor, 0);
+		c = sim_other_member(&s, a, successor, b);
 		s.nodes[sim_slot_of_member(&s, b)].log_unreachable = true;
 		move_and_serve(&s, b, c);
 		sim_configure(&s, s.nodes[sim_slot_of_member(&s, c)]
@@ -346,7 +356,7 @@
 	uint32_t i;
 	int a;
 
-	start_quietly(&s, seed, rules);
+	start_settled(&s, seed, rules);
 	a = s.nodes[0].member.self_id ? 0 : 1;
 	id = s.nodes[a].member.self_id;
 	m = *fleet_member(sim_newest_state(&s), id);
@@ -357,12 +367,12 @@
 		if (p != m.process && !witness_set_has(&m.witnesses, p))
 			spare = p;
 	}
-	/* The first witness promises a stop and is replaced. */
+	/* The first witness promises to stop vouching, and is replaced. */
 	sim_cut_link(&s, a, sim_slot_of_process(&s, v[0]), 1800);
 	sim_run(&s, 1900);
 	m = *fleet_member(sim_newest_state(&s), id);
 	set_witnesses(&s, &m, (int64_t[]){ v[1], v[2], spare });
-	/* Taken back, it must still keep its promise. */
+	/* When it is named again, it must still keep its promise. */
 	m = *fleet_member(sim_newest_state(&s), id);
 	set_witnesses(&s, &m, (int64_t[]){ v[1], v[2], v[0] });
 	sim_cut_link(&s, a, sim_slot_of_process(&s, v[2]), 5000);
@@ -373,7 +383,7 @@
 	return breaches;
 }
 
-/* Three processes that are no witnesses of m, nor m itself. */
+/* Sets ids to three processes that are neither witnesses of m nor its own. */
 static void other_witnesses(struct sim *s, const struct member *m, int64_t *ids)
 {
 	uint32_t i, n = 0;
@@ -386,8 +396,11 @@
 	}
 }
 
-/* Most of the witnesses that a member changes to end before they have vouched. */
-static void test_new_witnesses_end(void)
+/*
+ * Most of the witnesses that a member changes to are killed before they have
+ * vouched for it.
+ */
+static void test_new_witnesses_killed(void)
 {
 	uint32_t seed;
 
@@ -396,7 +409,7 @@
 		struct sim s;
 		int64_t id, ids[3];
 
-		start_quietly(&s, seed, 0);
+		start_settled(&s, seed, 0);
 		id = s.nodes[0].member.self_id;
 		m = fleet_member(sim_newest_state(&s), id);
 		other_witnesses(&s, m, ids);
@@ -417,9 +430,9 @@
 }
 
 /*
- * A member's witnesses change, as they do whenever one of their hosts restarts.
- * The new ones have not vouched yet. If that ended the lease until they are
- * next asked, each restart of a host would leave the keys of its neighbours
+ * The witnesses of a member change whenever one of their hosts restarts, and
+ * the new ones have not vouched yet. If the lease ended until the next vouch
+ * request, each restart of a host would leave the keys of its neighbours
  * without an owner for up to half a second.
  */
 static void test_new_witnesses_keep_lease(void)
@@ -432,7 +445,7 @@
 		struct member m;
 		struct sim s;
 
-		start_quietly(&s, seed, 0);
+		start_settled(&s, seed, 0);
 		lapses = counters[COUNTER_lease_lapses];
 		m = *fleet_member(sim_newest_state(&s),
 				  s.nodes[0].member.self_id);
@@ -446,7 +459,8 @@
 	}
 }
 
-static bool settles(struct sim *s, int64_t member)
+/* Whether the last record settles a change of the member's witnesses. */
+static bool last_record_settles(struct sim *s, int64_t member)
 {
 	struct sim_log_record *r = g_ptr_array_index(s->log, s->log->len - 1);
 	json_t *type = json_object_get(r->record, "type");
@@ -469,30 +483,31 @@
 	struct sim s;
 	uint64_t breaches;
 	int64_t old[3];
-	int64_t heir = 0, end;
+	int64_t successor = 0, end;
 	uint32_t i, n = 0;
 
-	start_quietly(&s, seed, rules);
+	start_settled(&s, seed, rules);
 	m = *fleet_member(sim_newest_state(&s), s.nodes[4].member.self_id);
 	sv = fleet_service(sim_newest_state(&s), "records");
 	for (i = 0; i < sv->n_shards; i++)
 		if (sv->shards[i].owner == m.id)
-			heir = sv->shards[i].successor;
+			successor = sv->shards[i].successor;
 	for (i = 0; i < 4; i++)
-		if (s.nodes[i].member.self_id != heir && n < 3)
+		if (s.nodes[i].member.self_id != successor && n < 3)
 			old[n++] = process_of(&s, i);
 	set_witnesses(&s, &m, old);
 	m = *fleet_member(sim_newest_state(&s), m.id);
 	for (i = 0; i < 3; i++)
 		w.id[i] = process_of(&s, 5 + i);
 	sim_append(&s, record_witnesses(m.id, m.witness_offset, &w));
-	for (end = s.now_ms + 5000; s.now_ms < end && !settles(&s, m.id);)
+	for (end = s.now_ms + 5000;
+	     s.now_ms < end && !last_record_settles(&s, m.id);)
 		sim_step(&s);
-	g_assert_true(settles(&s, m.id));
+	g_assert_true(last_record_settles(&s, m.id));
 	s.nodes[4].log_unreachable = true;
 	s.nodes[4].no_records_until_ms = s.now_ms + 20000;
 	for (i = 0; i < 3; i++) {
-		put_behind(&s, old[i]);
+		delay_records(&s, old[i]);
 		sim_cut_link(&s, 4, 5 + i, 20000);
 	}
 	sim_run(&s, 6000);
@@ -502,28 +517,30 @@
 }
 
 /*
- * A member sends the record that settles a change of its witnesses, and does
- * not read it: others count its new witnesses alone by then. Cut off from those
- * and in touch with the old ones, it must lose its lease, or it serves its keys
- * beside its heirs.
+ * A member appends the record that settles a change of its witnesses, but does
+ * not read it. From then on the others count only its new witnesses. If it is
+ * cut off from those and connected to the previous ones, it must lose its
+ * lease; otherwise it would serve its keys while its successors do.
  */
 static void test_unread_settle(void)
 {
-	uint64_t without = 0;
+	uint64_t breaches_without_rule = 0;
 	uint32_t seed;
 
 	for (seed = 1; seed <= 10; seed++) {
 		g_assert_cmpuint(unread_settle(seed, 0), ==, 0);
-		without += unread_settle(seed, RULE_NEW_WITNESSES_COUNT);
+		breaches_without_rule +=
+			unread_settle(seed, RULE_NEW_WITNESSES_COUNT);
 	}
-	g_assert_cmpuint(without, >, 0);
+	g_assert_cmpuint(breaches_without_rule, >, 0);
 }
 
 /*
- * A member's witness was the log, which it has just read, and those that follow
- * vouched for it half a second ago. Requests run under the longer lease.
+ * The witness of a member was the log, which it has just read; its new
+ * witnesses vouched for it half a second ago. Settling must not shorten the
+ * lease, since requests run under the longer one.
  */
-static void test_settle_keeps_what_was_lent(void)
+static void test_settle_keeps_lease(void)
 {
 	struct witness_set log = { .n = 1, .id = { LOG_WITNESS } };
 	uint32_t seed;
@@ -536,7 +553,7 @@
 		struct sim s;
 		uint32_t seen;
 
-		start_quietly(&s, seed, 0);
+		start_settled(&s, seed, 0);
 		n = &s.nodes[4].member;
 		m = fleet_member(sim_newest_state(&s), n->self_id);
 		sim_append(&s, record_witnesses(n->self_id, m->witness_offset,
@@ -547,7 +564,8 @@
 			sim_step(&s);
 			m = fleet_member(&n->fleet, n->self_id);
 			g_assert_nonnull(m);
-			if (s.log->len == seen || !settles(&s, m->id) ||
+			if (s.log->len == seen ||
+			    !last_record_settles(&s, m->id) ||
 			    !witness_set_has(&m->old_witnesses, LOG_WITNESS))
 				continue;
 			g_assert_cmpint(member_lease_end_ms(n), >=, longest);
@@ -560,28 +578,29 @@
 }
 
 /*
- * A witness gives up on a member, is replaced and later taken back, while the
- * member's heirs still hold its promise. Vouching again, it would let owner
- * and heir serve the same key.
+ * A witness stops vouching for a member, is replaced and later named again,
+ * while the member's successors still hold its promise. If it vouched again,
+ * the owner and a successor could serve the same key.
  */
 static void test_returning_witness(void)
 {
-	uint64_t without = 0;
+	uint64_t breaches_without_rule = 0;
 	uint32_t seed;
 
 	for (seed = 1; seed <= 20; seed++) {
 		g_assert_cmpuint(returning_witness(seed, 0), ==, 0);
-		without += returning_witness(seed, RULE_PROMISE_PERSISTS);
+		breaches_without_rule +=
+			returning_witness(seed, RULE_PROMISE_PERSISTS);
 	}
-	g_assert_cmpuint(without, >, 0);
+	g_assert_cmpuint(breaches_without_rule, >, 0);
 }
 
 /*
- * An owner whose server is full gives ranges away. The balancer, which looks
- * once a second for something to do, must not make it wait its turn: the giving
- * was let through once in twenty tries, and the server stayed full.
+ * An owner whose backend server is full moves shards to another member. The
+ * balancer, which runs once a second, must not delay that: when it did, one
+ * move in twenty was made, and the server stayed full.
  */
-static void test_gives_at_once(void)
+static void test_move_is_not_delayed(void)
 {
 	GArray *shards = g_array_new(FALSE, FALSE, sizeof(uint32_t));
 	struct sim s;
@@ -590,7 +609,7 @@
 	uint32_t shard = 0;
 	int slot;
 
-	start_quietly(&s, 3, 0);
+	start_settled(&s, 3, 0);
 	slot = sim_serving_slot(&s, shard);
 	n = &s.nodes[slot].member;
 	to = s.nodes[(slot + 1) % 5].member.self_id;
@@ -604,12 +623,13 @@
 }
 
 /*
- * Operators publish in quick succession while the nodes that would bring it
- * into the log first are gone. The next in turn must count its wait from the
- * first change that is not in force, not from each new one: it would wait as
- * long as they go on, and callers be served by a configuration long replaced.
+ * Operators publish in quick succession while the nodes that would append the
+ * changes first are down. The next in rank must count its wait from the first
+ * change that is not in force, not from each new one. Otherwise it would wait
+ * for as long as operators publish, and callers would be served by an outdated
+ * configuration.
  */
-static void test_published_in_a_storm(void)
+static void test_published_in_quick_succession(void)
 {
 	struct sim s;
 	struct fleet *f;
@@ -617,7 +637,7 @@
 	int64_t source;
 	uint32_t i, rank;
 
-	start_quietly(&s, 5, 0);
+	start_settled(&s, 5, 0);
 	f = sim_newest_state(&s);
 	doc = json_deep_copy(f->document);
 	json_object_set_new(doc, "source", json_integer(1));
@@ -640,8 +660,11 @@
 	sim_finish(&s);
 }
 
-/* What is in force and n routes more, as operators' version n. */
-static json_t *more_routes(const struct fleet *f, int version, uint32_t n)
+/*
+ * The document in force with n more routes, as the given version of the
+ * operators.
+ */
+static json_t *with_more_routes(const struct fleet *f, int version, uint32_t n)
 {
 	json_t *doc = json_deep_copy(f->document);
 	json_t *classes = json_object_get(doc, "classes");
@@ -668,20 +691,21 @@
 }
 
 /*
- * Who proposes part of a change dies, and the next in turn has read less of
- * what operators published: the part that is in force must not go back.
+ * A node is killed after it has appended part of a change, and the next in rank
+ * has read less of the operators' stream. The part that is in force must not be
+ * reverted.
  */
-static void test_part_is_not_reverted(void)
+static void test_partial_change_is_not_reverted(void)
 {
 	struct sim s;
 	json_t *older, *newer;
 	struct fleet *f;
 	uint32_t n;
 
-	start_quietly(&s, 5, 0);
+	start_settled(&s, 5, 0);
 	f = sim_newest_state(&s);
-	older = more_routes(f, 1, 0);
-	newer = more_routes(f, 2, 4000);
+	older = with_more_routes(f, 1, 0);
+	newer = with_more_routes(f, 2, 4000);
 	publish(&s, 1, 11, newer);
 	member_tick(&s.nodes[1].member, sim_node_now_ms(&s.nodes[1]));
 	sim_kill(&s, 1);
@@ -698,17 +722,18 @@
 }
 
 /*
- * Who proposes part of a change dies, and had read a record more that changes
- * nothing: the others have all that matters, and the rest must follow.
+ * A node is killed after it has appended part of a change. It had read one more
+ * record of the operators' stream than the others, which changes nothing. The
+ * others have all of the change and must append the rest.
  */
-static void test_part_is_finished_by_others(void)
+static void test_partial_change_is_completed(void)
 {
 	struct sim s;
 	json_t *newer;
 	uint32_t i;
 
-	start_quietly(&s, 5, 0);
-	newer = more_routes(sim_newest_state(&s), 2, 4000);
+	start_settled(&s, 5, 0);
+	newer = with_more_routes(sim_newest_state(&s), 2, 4000);
 	publish(&s, 1, 11, newer);
 	member_tick(&s.nodes[1].member, sim_node_now_ms(&s.nodes[1]));
 	sim_kill(&s, 1);
@@ -722,24 +747,27 @@
 	sim_finish(&s);
 }
 
-/* A writer may read its record before it has the answer to its append. */
-static void test_next_part_does_not_wait(void)
+/*
+ * A node may read its own record before it gets the answer to its append. The
+ * next part must not be delayed by that.
+ */
+static void test_next_part_is_not_delayed(void)
 {
 	struct sim s;
 	struct member_node *n;
 	struct fleet *f;
 	json_t *changes, *doc;
 	json_t *r;
-	bool whole;
+	bool complete;
 
-	start_quietly(&s, 5, 0);
+	start_settled(&s, 5, 0);
 	n = &s.nodes[1].member;
 	f = &n->fleet;
-	doc = more_routes(f, 2, 4000);
+	doc = with_more_routes(f, 2, 4000);
 	publish(&s, 1, 11, doc);
-	changes = changes_between(f->document, doc, 192 * 1024, &whole);
-	g_assert_false(whole);
-	r = record_changes(f->configuration_version, changes, 11, whole,
+	changes = changes_between(f->document, doc, 192 * 1024, &complete);
+	g_assert_false(complete);
+	r = record_changes(f->configuration_version, changes, 11, complete,
 			   n->self_id);
 	n->append_pending[APPEND_PUBLISHED] = true;
 	member_on_record(n, f->applied + 1, "1-x", r, n->now_ms);
@@ -751,10 +779,11 @@
 }
 
 /*
- * A member's witnesses are changed to the log, and it has not read of that: it
- * serves on by the three that it had, and says nothing to the log. Others who
- * have read the record find it silent. Expelled for that, it would go on
- * serving its keys beside those who took them over.
+ * The witnesses of a member are changed to the log, and the member has not read
+ * that record: its lease still comes from its three previous witnesses, and it
+ * appends nothing to the log. Members that have read the record find nothing
+ * from that member in the log. If they expelled it for that, it would go on
+ * serving its keys while the new owners serve them.
  */
 static void test_unread_change_to_the_log(void)
 {
@@ -767,7 +796,7 @@
 		int64_t id;
 		int slot;
 
-		start_quietly(&s, seed, 0);
+		start_settled(&s, seed, 0);
 		slot = sim_serving_slot(&s, 0);
 		id = s.nodes[slot].member.self_id;
 		m = fleet_member(sim_newest_state(&s), id);
@@ -785,29 +814,30 @@
 {
 	g_test_init(&argc, &argv, NULL);
 	g_test_add_func("/schedule/published-in-a-storm",
-			test_published_in_a_storm);
+			test_published_in_quick_succession);
 	g_test_add_func("/schedule/part-is-not-reverted",
-			test_part_is_not_reverted);
+			test_partial_change_is_not_reverted);
 	g_test_add_func("/schedule/part-is-finished-by-others",
-			test_part_is_finished_by_others);
+			test_partial_change_is_completed);
 	g_test_add_func("/schedule/next-part-does-not-wait",
-			test_next_part_does_not_wait);
-	g_test_add_func("/schedule/gives-at-once", test_gives_at_once);
+			test_next_part_is_not_delayed);
+	g_test_add_func("/schedule/gives-at-once", test_move_is_not_delayed);
 	g_test_add_func("/schedule/stale-successor", test_stale_successor);
 	g_test_add_func("/schedule/shard-comes-and-goes",
-			test_shard_comes_and_goes);
-	g_test_add_func("/schedule/unheard-move", test_unheard_move);
+			test_shard_moves_repeatedly);
+	g_test_add_func("/schedule/unheard-move", test_unread_move);
 	g_test_add_func("/schedule/new-witnesses-keep-lease",
 			test_new_witnesses_keep_lease);
 	g_test_add_func("/schedule/unread-settle", test_unread_settle);
 	g_test_add_func("/schedule/settle-keeps-what-was-lent",
-			test_settle_keeps_what_was_lent);
-	g_test_add_func("/schedule/unheard-heir", test_unheard_heir);
+			test_settle_keeps_lease);
+	g_test_add_func("/schedule/unheard-heir", test_unread_successor);
 	g_test_add_func("/schedule/unread-change-to-the-log",
 			test_unread_change_to_the_log);
-	g_test_add_func("/schedule/new-witnesses-end", test_new_witnesses_end);
+	g_test_add_func("/schedule/new-witnesses-end",
+			test_new_witnesses_killed);
 	g_test_add_func("/schedule/heir-before-settling",
-			test_heir_before_settling);
+			test_successor_before_settling);
 	g_test_add_func("/schedule/returning-witness", test_returning_witness);
 	return g_test_run();
 }
--- a/t/test-start.c
+++ b/t/test-start.c
@@ -2,10 +2,13 @@
 #include "t/sim.h"
 #include "util/result.h"
 
-/* What a process may take for level with the fleet when it has just started. */
+/*
+ * Processes that have just started: when they count as caught up with the
+ * fleet, and how they append snapshots and changes.
+ */
 
-/* Apply the first records of the log to a node that cannot read it. */
-static void apply_first(struct sim *s, uint32_t slot, uint32_t count)
+/* Applies the first records of the log to a node that cannot read it. */
+static void apply_first_records(struct sim *s, uint32_t slot, uint32_t count)
 {
 	struct sim_node *nd = &s->nodes[slot];
 	uint32_t i;
@@ -18,8 +21,8 @@
 	}
 }
 
-/* The process of slot asks the one of peer for all that it has. */
-static void ask_peer(struct sim *s, uint32_t slot, uint32_t peer)
+/* The process of slot requests from the process of peer all that it has. */
+static void request_records(struct sim *s, uint32_t slot, uint32_t peer)
 {
 	struct sim_node *nd = &s->nodes[peer];
 	struct member_msg msg;
@@ -35,8 +38,11 @@
 	sim_run(s, 200);
 }
 
-/* A process that is level with one in the middle of its log is not current. */
-static void test_peer_not_level(void)
+/*
+ * A process that has caught up only with a peer that has applied part of the
+ * log must not count as current.
+ */
+static void test_peer_not_caught_up(void)
 {
 	struct sim s;
 	int64_t end;
@@ -50,8 +56,8 @@
 		sim_start(&s, i);
 		s.nodes[i].log_unreachable = true;
 	}
-	apply_first(&s, 0, s.log->len / 2);
-	ask_peer(&s, 1, 0);
+	apply_first_records(&s, 0, s.log->len / 2);
+	request_records(&s, 1, 0);
 	g_assert_cmpint(s.nodes[1].member.fleet.applied, ==,
 			s.log->len / 2 - 1);
 	g_assert_false(member_is_current(&s.nodes[1].member));
@@ -59,14 +65,17 @@
 	sim_run(&s, 100);
 	end = s.log->len - 1;
 	g_assert_cmpint(s.nodes[0].member.fleet.applied, ==, end);
-	ask_peer(&s, 1, 0);
+	request_records(&s, 1, 0);
 	g_assert_cmpint(s.nodes[1].member.fleet.applied, >=, end);
 	g_assert_true(member_is_current(&s.nodes[1].member));
 	sim_finish(&s);
 }
 
-/* A process that has nothing is handed the state, not each record since then. */
-static void test_all_as_state(void)
+/*
+ * A process without state gets the state from a peer, not each record that led
+ * to it.
+ */
+static void test_state_sent_as_snapshot(void)
 {
 	struct sim s;
 
@@ -76,14 +85,17 @@
 	sim_kill(&s, 1);
 	sim_start(&s, 1);
 	s.nodes[1].log_unreachable = true;
-	ask_peer(&s, 1, 0);
+	request_records(&s, 1, 0);
 	g_assert_cmpint(s.nodes[1].member.fleet.applied, ==, s.log->len - 1);
 	g_assert_true(member_is_current(&s.nodes[1].member));
 	g_assert_cmpuint(s.nodes[1].member.cache->length, <, 5);
 	sim_finish(&s);
 }
 
-/* Another's record comes before a part of a snapshot: the rest still follows. */
+/*
+ * Another member's record is appended before a part of a snapshot: the part
+ * must be appended again, and the rest after it.
+ */
 static void test_snapshot_after_conflict(void)
 {
 	struct member_node *n;
@@ -124,7 +136,10 @@
 	return count;
 }
 
-/* Who comes second with a snapshot leaves it to the one who was first. */
+/*
+ * When another member's snapshot is in the log first, a member discards its
+ * own.
+ */
 static void test_one_snapshot_at_a_time(void)
 {
 	struct member_node *n;
@@ -149,18 +164,19 @@
 	sim_finish(&s);
 }
 
-/* Records after which the newest snapshot would be overwritten in the store. */
-#define RING 256
+/* The store overwrites the newest snapshot after this many records. */
+#define LOG_CAPACITY 256
 
 /*
- * Who would write the snapshot cannot reach the log, and records go on: another
- * must write it before the one that there is has been overwritten.
+ * The member that would write the snapshot cannot reach the log, and more
+ * records are appended: another must write one before the store overwrites the
+ * newest snapshot.
  */
-static void test_next_writes_snapshot(void)
+static void test_next_node_writes_snapshot(void)
 {
 	struct sim s;
 	uint32_t i;
-	int64_t most = 0;
+	int64_t max_records = 0;
 
 	sim_init_grant_by_heartbeat(&s, 11, 0);
 	g_assert_true(sim_run_until_served(&s, 20000));
@@ -168,20 +184,20 @@
 		if (!assign_rank(&s.nodes[i].member.fleet, "snapshot",
 				 s.nodes[i].member.self_id))
 			s.nodes[i].log_unreachable = true;
-	for (i = 0; i < 2 * RING; i++) {
+	for (i = 0; i < 2 * LOG_CAPACITY; i++) {
 		const struct fleet *f = sim_newest_state(&s);
 
 		sim_configure(&s, NULL);
 		sim_run(&s, 100);
-		most = MAX(most, f->applied - f->snapshot_offset);
+		max_records = MAX(max_records, f->applied - f->snapshot_offset);
 	}
 	g_test_message("%" G_GINT64_FORMAT " records since a snapshot",
-		       (gint64)most);
-	g_assert_cmpint(most, <, RING);
+		       (gint64)max_records);
+	g_assert_cmpint(max_records, <, LOG_CAPACITY);
 	sim_finish(&s);
 }
 
-/* The snapshot that a process begins with need not be written once more. */
+/* The snapshot that a process starts from need not be written again. */
 static void test_loaded_snapshot_counts(void)
 {
 	const struct fleet *f;
@@ -191,7 +207,7 @@
 
 	sim_init_grant_by_heartbeat(&s, 13, 0);
 	g_assert_true(sim_run_until_served(&s, 20000));
-	for (i = 0; i < RING; i++)
+	for (i = 0; i < LOG_CAPACITY; i++)
 		sim_configure(&s, NULL);
 	sim_run(&s, 5000);
 	state = fleet_snapshot(sim_newest_state(&s));
@@ -202,20 +218,23 @@
 			==, RESULT_OK);
 	json_decref(state);
 	f = &s.nodes[1].member.fleet;
-	g_assert_cmpint(f->applied, >, RING);
+	g_assert_cmpint(f->applied, >, LOG_CAPACITY);
 	g_assert_cmpint(f->applied - f->snapshot_upto, <, 60);
-	/* Nor one that it hears of from a peer. */
+	/* Nor one that it learns of from a peer. */
 	sim_kill(&s, 1);
 	sim_start(&s, 1);
 	s.nodes[1].log_unreachable = true;
-	ask_peer(&s, 1, 0);
-	g_assert_cmpint(f->applied, >, RING);
+	request_records(&s, 1, 0);
+	g_assert_cmpint(f->applied, >, LOG_CAPACITY);
 	g_assert_cmpint(f->applied - f->snapshot_upto, <, 120);
 	sim_finish(&s);
 }
 
-/* Eighty processes that start at once and retry at once leave no one room. */
-static void test_conflicts_wait_longer(void)
+/*
+ * Eighty processes that start at once and retry at once would prevent each
+ * other's appends, so conflicts in a row must lengthen the delay.
+ */
+static void test_conflicts_back_off(void)
 {
 	struct member_node *n;
 	int64_t longest = 0;
@@ -237,8 +256,11 @@
 	sim_finish(&s);
 }
 
-/* While others append, a long part that must come at the end is sent seldom. */
-static void test_snapshot_waits_for_quiet(void)
+/*
+ * A part of a snapshot is long and must come at the log's end. While others
+ * append, it must be retried rarely.
+ */
+static void test_snapshot_backs_off(void)
 {
 	struct member_node *n;
 	int64_t waited = 0;
@@ -257,8 +279,11 @@
 	sim_finish(&s);
 }
 
-/* After the store was away all append at once, and a configuration is urgent. */
-static void test_published_goes_at_once(void)
+/*
+ * After an outage of the store all nodes append at once. A configuration is
+ * urgent, so conflicts in a row must not lengthen its delay.
+ */
+static void test_published_is_retried_at_once(void)
 {
 	struct member_node *n;
 	struct sim s;
@@ -279,8 +304,11 @@
 	sim_finish(&s);
 }
 
-/* Who is level needs no snapshot, and would have to read it for being long. */
-static void test_snapshot_is_not_passed_on(void)
+/*
+ * Members that are caught up need no snapshot. If its data were relayed, the
+ * record would be so long that they would have to read it from the log.
+ */
+static void test_snapshot_is_not_relayed(void)
 {
 	const struct cached_record *c;
 	struct member_node *n;
@@ -305,8 +333,11 @@
 	sim_finish(&s);
 }
 
-/* A long configuration is passed on as well, or each host reads it itself. */
-static void test_long_record_is_passed_on(void)
+/*
+ * A long configuration must be relayed too, or each host would read it from the
+ * log itself.
+ */
+static void test_long_record_is_relayed(void)
 {
 	GString *text = g_string_new(NULL);
 	struct sim s;
@@ -330,7 +361,7 @@
 	sim_finish(&s);
 }
 
-/* Few hosts of a large fleet fetch what operators publish, however long it is. */
+/* Few hosts of a large fleet read the operators' stream, however long it is. */
 static void test_few_read_operators(void)
 {
 	struct member_node *n;
@@ -371,26 +402,26 @@
 int main(int argc, char **argv)
 {
 	g_test_init(&argc, &argv, NULL);
-	g_test_add_func("/start/peer-not-level", test_peer_not_level);
-	g_test_add_func("/start/all-as-state", test_all_as_state);
+	g_test_add_func("/start/peer-not-level", test_peer_not_caught_up);
+	g_test_add_func("/start/all-as-state", test_state_sent_as_snapshot);
 	g_test_add_func("/start/snapshot-after-conflict",
 			test_snapshot_after_conflict);
 	g_test_add_func("/start/one-snapshot-at-a-time",
 			test_one_snapshot_at_a_time);
 	g_test_add_func("/start/next-writes-snapshot",
-			test_next_writes_snapshot);
+			test_next_node_writes_snapshot);
 	g_test_add_func("/start/loaded-snapshot-counts",
 			test_loaded_snapshot_counts);
 	g_test_add_func("/start/conflicts-wait-longer",
-			test_conflicts_wait_longer);
+			test_conflicts_back_off);
 	g_test_add_func("/start/snapshot-waits-for-quiet",
-			test_snapshot_waits_for_quiet);
+			test_snapshot_backs_off);
 	g_test_add_func("/start/published-goes-at-once",
-			test_published_goes_at_once);
+			test_published_is_retried_at_once);
 	g_test_add_func("/start/snapshot-is-not-passed-on",
-			test_snapshot_is_not_passed_on);
+			test_snapshot_is_not_relayed);
 	g_test_add_func("/start/long-record-is-passed-on",
-			test_long_record_is_passed_on);
+			test_long_record_is_relayed);
 	g_test_add_func("/start/few-read-operators", test_few_read_operators);
 	return g_test_run();
 }
--- a/t/test-state.c
+++ b/t/test-state.c
@@ -6,7 +6,7 @@
 #include "state/scan.h"
 #include "util/result.h"
 
-static int64_t applied_next;
+static int64_t next_offset;
 
 static void join(struct fleet *f, const char *host, const char *dc,
 		 const char *boot)
@@ -23,7 +23,7 @@
 	m.witnesses.n = 1;
 	m.witnesses.id[0] = LOG_WITNESS;
 	r = record_join(&m);
-	g_assert_cmpint(fleet_apply(f, applied_next++, "", r), ==, RESULT_OK);
+	g_assert_cmpint(fleet_apply(f, next_offset++, "", r), ==, RESULT_OK);
 	json_decref(r);
 }
 
@@ -39,7 +39,7 @@
 {
 	json_t *doc = document(hakata_in);
 	json_t *r = record_configuration(base, doc, "operator", "test");
-	int err = fleet_apply(f, applied_next++, "", r);
+	int err = fleet_apply(f, next_offset++, "", r);
 
 	json_decref(r);
 	json_decref(doc);
@@ -48,7 +48,7 @@
 
 static void set_up(struct fleet *f)
 {
-	applied_next = 0;
+	next_offset = 0;
 	fleet_init(f);
 	g_assert_cmpint(configure(f, -1, true), ==, RESULT_OK);
 	join(f, "a", "hakata", "b1");
@@ -56,7 +56,7 @@
 	join(f, "c", "kurume", "b3");
 }
 
-static uint32_t owned(struct fleet *f, int64_t id)
+static uint32_t count_owned(struct fleet *f, int64_t id)
 {
 	uint32_t n = 0;
 	uint32_t i;
@@ -71,14 +71,14 @@
 	struct fleet f;
 
 	set_up(&f);
-	g_assert_cmpuint(owned(&f, 2), ==, 8);
+	g_assert_cmpuint(count_owned(&f, 2), ==, 8);
 	g_assert_cmpint(f.services[0].shards[0].successor, !=, 0);
 	fleet_finish(&f);
 }
 
 /*
  * Two operators publish from the same version. The one whose record comes
- * second must be told of the conflict and must not undo the first.
+ * second must get a conflict and must not undo the first.
  */
 static void test_operators_race(void)
 {
@@ -93,10 +93,10 @@
 }
 
 /*
- * An answer of the log is lost after the write, and the writer appends again.
- * Applied twice, the join would throw out the member that it made.
+ * The answer to an append is lost after the write, and the writer appends
+ * again. Applied twice, the join would remove the member that it created.
  */
-static void test_second_copy_is_ignored(void)
+static void test_duplicate_append_is_ignored(void)
 {
 	json_t *r = json_pack("{s:s,s:s,s:s,s:s,s:s,s:s,s:[i]}", "type", "join",
 			      "host", "d", "peer", "d", "service", "records",
@@ -114,23 +114,24 @@
 
 /*
  * The owner is proved to have stopped. Its shards must go to the successors
- * named before, who may serve them already, and to nobody else.
+ * named before, which may serve them already, and to no other member.
  */
 static void test_successor_inherits(void)
 {
-	int64_t heirs[8];
+	int64_t successors[8];
 	struct fleet f;
 	json_t *r;
 	uint32_t i;
 
 	set_up(&f);
 	for (i = 0; i < 8; i++)
-		heirs[i] = f.services[0].shards[i].successor;
+		successors[i] = f.services[0].shards[i].successor;
 	r = record_expel(3, "lease lapsed");
 	record_expel_add(r, fleet_member(&f, 2));
 	g_assert_cmpint(fleet_apply(&f, 4, "", r), ==, RESULT_OK);
 	for (i = 0; i < 8; i++) {
-		g_assert_cmpint(f.services[0].shards[i].owner, ==, heirs[i]);
+		g_assert_cmpint(f.services[0].shards[i].owner, ==,
+				successors[i]);
 		g_assert_cmpint(f.services[0].shards[i].fence, ==, 4);
 	}
 	json_decref(r);
@@ -138,8 +139,9 @@
 }
 
 /*
- * A data centre is taken out and the log goes down right after. The one record
- * already says where each shard goes; nothing more need be appended.
+ * A data centre is taken out of service, and the log goes down right after.
+ * That one record must determine where each shard goes, so that no further
+ * append is needed.
  */
 static void test_data_centre_out_moves_shards(void)
 {
@@ -147,15 +149,15 @@
 
 	set_up(&f);
 	g_assert_cmpint(configure(&f, 0, false), ==, RESULT_OK);
-	g_assert_cmpuint(owned(&f, 2), ==, 0);
+	g_assert_cmpuint(count_owned(&f, 2), ==, 0);
 	g_assert_cmpint(f.services[0].shards[0].prev_owner, ==, 2);
 	fleet_finish(&f);
 }
 
 /*
- * The data centre goes out while moves into it are not settled, and the log is
- * down from then on. Shards left behind would keep it in service for as long
- * as the log is away.
+ * A data centre is taken out of service while moves into it are not settled,
+ * and the log is down from then on. Shards left there would keep it in service
+ * for as long as the log is down.
  */
 static void test_data_centre_out_unsettled(void)
 {
@@ -170,9 +172,9 @@
 				f.services[0].shards[i].fence);
 	g_assert_cmpint(fleet_apply(&f, 4, "", r), ==, RESULT_OK);
 	json_decref(r);
-	applied_next = 5;
+	next_offset = 5;
 	g_assert_cmpint(configure(&f, 0, false), ==, RESULT_OK);
-	g_assert_cmpuint(owned(&f, 2), ==, 0);
+	g_assert_cmpuint(count_owned(&f, 2), ==, 0);
 	for (i = 0; i < 8; i += 2) {
 		g_assert_cmpint(f.services[0].shards[i].prev_owner, ==, 2);
 		g_assert_cmpint(f.services[0].shards[i].older_owner, ==, 2);
@@ -202,7 +204,7 @@
 	set_up(&f);
 	r = assign_balance(&f, &f.services[0], 100);
 	g_assert_nonnull(r);
-	/* 8, 0, 0 becomes 2, 3, 3 or the like: five or six moves. */
+	/* 8, 0, 0 becomes 2, 3, 3 or similar: five or six moves. */
 	g_assert_cmpuint(json_array_size(json_object_get(r, "items")), <=, 6);
 	g_assert_cmpint(fleet_apply(&f, 4, "", r), ==, RESULT_OK);
 	g_assert_null(assign_balance(&f, &f.services[0], 100));
@@ -210,8 +212,11 @@
 	fleet_finish(&f);
 }
 
-/* Nodes that start from a snapshot must agree with those that did not. */
-static void test_snapshot_is_whole(void)
+/*
+ * Nodes that start from a snapshot must have the same state as those that
+ * applied all records.
+ */
+static void test_snapshot_is_complete(void)
 {
 	struct fleet f, g;
 	json_t *a, *b;
@@ -223,7 +228,7 @@
 	g_assert_cmpint(fleet_load_snapshot(&g, a), ==, RESULT_OK);
 	b = fleet_snapshot(&g);
 	g_assert_true(json_equal(a, b));
-	/* An older one must not take the place of a newer state. */
+	/* An older one must not replace a newer state. */
 	json_object_set_new(a, "applied", json_integer(1));
 	g_assert_cmpint(fleet_load_snapshot(&g, a), ==, RESULT_STALE);
 	json_decref(a);
@@ -232,8 +237,8 @@
 	fleet_finish(&g);
 }
 
-/* A record that is no use to anybody must not end the process. */
-static void test_broken_records(void)
+/* A malformed record must not end the process. */
+static void test_malformed_records(void)
 {
 	static const char *const texts[] = {
 		"{}",
@@ -255,7 +260,7 @@
 	for (i = 0; i < G_N_ELEMENTS(texts); i++) {
 		json_t *r = json_loads(texts[i], 0, NULL);
 
-		fleet_apply(&f, applied_next++, "", r);
+		fleet_apply(&f, next_offset++, "", r);
 		json_decref(r);
 	}
 	g_assert_cmpuint(fleet_n_members(&f), ==, 3);
@@ -264,8 +269,9 @@
 
 /*
  * A node that is behind finds a member silent whose witness was the log, and
- * appends its expulsion after the member has settled on other witnesses. Taken
- * for proved, it would give the shards away while the member serves them.
+ * appends its expulsion after the member has settled on other witnesses. If
+ * that counted as proof that the member stopped, its shards would go to others
+ * while it serves them.
  */
 static void test_expulsion_by_old_witnesses(void)
 {
@@ -301,8 +307,11 @@
 	fleet_finish(&f);
 }
 
-/* Runs of neighbouring shards with one owner: a row each for its server. */
-static uint32_t rows(struct fleet *f)
+/*
+ * Ranges of neighbouring shards with one owner. Each is a row in the answers to
+ * its server's heartbeats.
+ */
+static uint32_t count_rows(struct fleet *f)
 {
 	const struct fleet_service *s = &f->services[0];
 	uint32_t n = 0;
@@ -318,16 +327,17 @@
 	json_t *r = record_expel(0, "test");
 
 	record_expel_add(r, fleet_member(f, id));
-	g_assert_cmpint(fleet_apply(f, applied_next++, "", r), ==, RESULT_OK);
+	g_assert_cmpint(fleet_apply(f, next_offset++, "", r), ==, RESULT_OK);
 	json_decref(r);
 }
 
 /*
- * Two of four servers are taken away, one after the other. Heirs picked one by
- * one for neighbours alternate, and what is left to two servers falls into so
- * many rows that the answer to a heartbeat cannot name them all: callers find
- * most keys without an owner for the rest of the day. Rows: 222 before, 64
- * after.
+ * Two of four servers are removed, one after the other. If successors of
+ * neighbouring shards were chosen one by one, they would alternate, and the
+ * shards of the other two servers would fall into so many rows that the answer
+ * to a heartbeat has no room for them all: callers would find most keys without
+ * an owner for the rest of the day. With that choice there were 222 rows,
+ * without it there are 64.
  */
 static void test_losses_leave_few_rows(void)
 {
@@ -338,9 +348,9 @@
 	json_t *r = record_configuration(-1, doc, "operator", "test");
 	struct fleet f;
 
-	applied_next = 0;
+	next_offset = 0;
 	fleet_init(&f);
-	g_assert_cmpint(fleet_apply(&f, applied_next++, "", r), ==, RESULT_OK);
+	g_assert_cmpint(fleet_apply(&f, next_offset++, "", r), ==, RESULT_OK);
 	json_decref(r);
 	json_decref(doc);
 	join(&f, "a", "hakata", "b1");
@@ -348,16 +358,19 @@
 	join(&f, "c", "kurume", "b3");
 	join(&f, "d", "kitakyu", "b4");
 	r = record_place("records", 2);
-	g_assert_cmpint(fleet_apply(&f, applied_next++, "", r), ==, RESULT_OK);
+	g_assert_cmpint(fleet_apply(&f, next_offset++, "", r), ==, RESULT_OK);
 	json_decref(r);
 	expel(&f, 3);
 	expel(&f, 4);
-	g_test_message("%u rows", rows(&f));
-	g_assert_cmpuint(rows(&f), <=, 128);
+	g_test_message("%u rows", count_rows(&f));
+	g_assert_cmpuint(count_rows(&f), <=, 128);
 	fleet_finish(&f);
 }
 
-/* A change that cannot be used must not hold up who waits for it. */
+/*
+ * A change that cannot be used must still advance source_offset, or nodes would
+ * wait for it.
+ */
 static void test_unusable_change(void)
 {
 	json_t *changes = json_pack("{s:{s:s},s:[],s:[]}", "set", "services",
@@ -368,7 +381,7 @@
 	set_up(&f);
 	r = record_changes(f.configuration_version, changes, 7, true, 1);
 	g_assert_cmpint(f.source_offset, <, 7);
-	g_assert_cmpint(fleet_apply(&f, applied_next++, "", r), ==,
+	g_assert_cmpint(fleet_apply(&f, next_offset++, "", r), ==,
 			RESULT_INVALID);
 	g_assert_cmpint(f.source_offset, ==, 7);
 	g_assert_nonnull(f.document);
@@ -378,9 +391,10 @@
 }
 
 static void scan_snapshot(struct log_scan *s, int64_t offset, int64_t upto,
-			  const char *text, bool whole)
+			  const char *text, bool complete)
 {
-	json_t *r = record_snapshot(upto, 0, whole ? 1 : 2, text, strlen(text));
+	json_t *r =
+		record_snapshot(upto, 0, complete ? 1 : 2, text, strlen(text));
 
 	log_scan_add(s, offset, "", r);
 	json_decref(r);
@@ -397,7 +411,10 @@
 	return applied;
 }
 
-/* Older snapshots, torn ones and rubbish are no reason to replay for long. */
+/*
+ * Older, incomplete or malformed snapshots must not cause a long replay: the
+ * newest usable snapshot is found.
+ */
 static void test_newest_snapshot(void)
 {
 	struct log_scan s;
@@ -424,7 +441,7 @@
 	g_test_init(&argc, &argv, NULL);
 	g_test_add_func("/state/first-member", test_first_member_owns_all);
 	g_test_add_func("/state/operators-race", test_operators_race);
-	g_test_add_func("/state/second-copy", test_second_copy_is_ignored);
+	g_test_add_func("/state/second-copy", test_duplicate_append_is_ignored);
 	g_test_add_func("/state/successor", test_successor_inherits);
 	g_test_add_func("/state/data-centre-out",
 			test_data_centre_out_moves_shards);
@@ -432,8 +449,8 @@
 			test_data_centre_out_unsettled);
 	g_test_add_func("/state/stale-move", test_stale_move_is_dropped);
 	g_test_add_func("/state/balance", test_balance_moves_little);
-	g_test_add_func("/state/snapshot", test_snapshot_is_whole);
-	g_test_add_func("/state/broken-records", test_broken_records);
+	g_test_add_func("/state/snapshot", test_snapshot_is_complete);
+	g_test_add_func("/state/broken-records", test_malformed_records);
 	g_test_add_func("/state/expulsion-by-old-witnesses",
 			test_expulsion_by_old_witnesses);
 	g_test_add_func("/state/gap", test_gap);
