--- a/net/log-client.h
+++ b/net/log-client.h
@@ -54,7 +54,8 @@
 	int kind; /* chosen by the caller, passed to on_appended */
 	void *user;
 	bool any_offset; /* may follow records that are not read yet */
-	uint32_t n_moved; /* times resent at another offset after a conflict */
+	uint32_t n_offset_retries; /* times resent at another offset after a
+				      conflict */
 	bool in_doubt; /* sent, but the answer was lost */
 	int64_t in_doubt_since_ms;
 };
--- a/net/request-msg.h
+++ b/net/request-msg.h
@@ -29,7 +29,7 @@
 #define REQ_FLAG_END 1 /* last part of the answer */
 #define REQ_FLAG_KEYED 2 /* served only by the owner of the shard */
 #define REQ_FLAG_REPEATABLE 4 /* submit: may run more than once */
-#define REQ_FLAG_FIRST_SENDING 8 /* submit: its id was never sent before */
+#define REQ_FLAG_FIRST_SEND 8 /* submit: its id was never sent before */
 #define REQ_FLAG_BY_SERVER 16 /* refused: by the backend server */
 #define REQ_FLAG_TRACED 32 /* submit: log each event of the request */
 #define REQ_FLAG_STARTED 64 /* failed: it was sent to a backend server */
--- a/node/entry-attempt.c
+++ b/node/entry-attempt.c
@@ -146,7 +146,7 @@
 	m->deadline_ms = r->plan.deadline_ms - now;
 	m->flags = (r->plan.keyed ? REQ_FLAG_KEYED : 0) |
 		   (r->plan.repeatable ? REQ_FLAG_REPEATABLE : 0) |
-		   (r->is_first_send ? REQ_FLAG_FIRST_SENDING : 0) |
+		   (r->is_first_send ? REQ_FLAG_FIRST_SEND : 0) |
 		   (r->traced ? REQ_FLAG_TRACED : 0);
 	m->method = r->http->method;
 	m->url = r->http->url;
--- a/node/entry.c
+++ b/node/entry.c
@@ -511,7 +511,7 @@
 }
 
 /* The caller has left, so all attempts are cancelled. */
-static void on_gone(void *user, struct httpd_request *http)
+static void on_caller_left(void *user, struct httpd_request *http)
 {
 	struct entry_request *r = http->user;
 
@@ -564,7 +564,7 @@
 
 static const struct httpd_ops entry_ops = {
 	.on_request = on_request,
-	.on_caller_left = on_gone,
+	.on_caller_left = on_caller_left,
 	.may_begin_early = may_begin_early,
 	.on_closed = on_closed,
 	.on_drained = on_drained,
--- a/node/gate-entries.c
+++ b/node/gate-entries.c
@@ -24,14 +24,14 @@
 	g_bytes_unref(key);
 }
 
-void gate_record_sent(struct gate *g, GBytes *identity, bool last)
+void gate_record_sent(struct gate *g, GBytes *identity, bool is_stop_notice)
 {
 	struct gate_entry *e = g_hash_table_lookup(g->entries, identity);
 
 	if (!e || !g->stopping)
 		return;
-	e->sent_after_stopping = e->stopping_ack_pending && !last;
-	e->stopping_ack_pending = e->stopping_ack_pending || last;
+	e->sent_after_stopping = e->stopping_ack_pending && !is_stop_notice;
+	e->stopping_ack_pending = e->stopping_ack_pending || is_stop_notice;
 }
 
 static struct gate_origin *get_origin(struct gate *g,
--- a/node/gate-request.h
+++ b/node/gate-request.h
@@ -85,10 +85,10 @@
 /* Records a request from an entry; for our own entry, NULL, does nothing. */
 void gate_record_entry(struct gate *g, const void *identity, size_t len);
 /*
- * While the gate stops, records that a message was sent to an entry. last: it
- * is the stop notice, which the entry acknowledges.
+ * After gate_stop(), records that a message was sent to an entry, which
+ * acknowledges only the stop notice.
  */
-void gate_record_sent(struct gate *g, GBytes *identity, bool last);
+void gate_record_sent(struct gate *g, GBytes *identity, bool is_stop_notice);
 /*
  * Updates the delay estimate of a message's sender. Returns how many ms longer
  * the message was in transit than the sender's fastest recent one.
--- a/node/gate-stop.c
+++ b/node/gate-stop.c
@@ -13,10 +13,10 @@
 
 /*
  * Returns a request that can be refused since the backend server has not got
- * it, or NULL. include_handed_over: also one that is handed over, but not sent.
+ * it, or NULL. include_in_flight: also one that is handed over, but not sent.
  */
 static struct gate_request *find_not_started(const struct gate *g,
-					     bool include_handed_over)
+					     bool include_in_flight)
 {
 	GHashTableIter it;
 	gpointer key;
@@ -26,7 +26,7 @@
 		struct gate_request *r = key;
 
 		if (!has_started(r) &&
-		    (include_handed_over || r->state != GATE_IN_FLIGHT))
+		    (include_in_flight || r->state != GATE_IN_FLIGHT))
 			return r;
 	}
 	return NULL;
@@ -36,11 +36,11 @@
  * Refusing a request of our own entry may add or remove others, so that each
  * search starts from the beginning.
  */
-static void refuse_not_started(struct gate *g, bool include_handed_over)
+static void refuse_not_started(struct gate *g, bool include_in_flight)
 {
 	struct gate_request *r;
 
-	while ((r = find_not_started(g, include_handed_over))) {
+	while ((r = find_not_started(g, include_in_flight))) {
 		gate_detach(r);
 		gate_refuse(r, RESULT_NOT_OWNER);
 	}
--- a/node/gate.c
+++ b/node/gate.c
@@ -532,7 +532,7 @@
 	g_byte_array_append(r->body, m->data, m->len);
 	r->class_index = GPOINTER_TO_UINT(index) - 1;
 	r->repeatable = m->flags & REQ_FLAG_REPEATABLE;
-	r->is_first_send = m->flags & REQ_FLAG_FIRST_SENDING;
+	r->is_first_send = m->flags & REQ_FLAG_FIRST_SEND;
 	r->traced = m->flags & REQ_FLAG_TRACED;
 	r->sent_at_ms = m->sent_at_ms;
 	r->resend_window_ms = m->resend_window_ms;
--- a/node/node.c
+++ b/node/node.c
@@ -414,16 +414,16 @@
 }
 
 /* The loop ends once the entries have acknowledged these messages. */
-static void send_final_messages(struct node *n, int64_t now)
+static void stop_gate(struct node *n, int64_t now)
 {
-	n->final_messages_at_ms = now;
+	n->gate_stopped_at_ms = now;
 	gate_stop(&n->gate);
 }
 
 static void await_stopping_acks(struct node *n, int64_t now)
 {
 	if (!gate_stopping_is_acked(&n->gate) &&
-	    now - n->final_messages_at_ms < STOPPING_ACK_TIMEOUT_MS)
+	    now - n->gate_stopped_at_ms < STOPPING_ACK_TIMEOUT_MS)
 		return;
 	ev_break(n->loop, EVBREAK_ALL);
 }
@@ -457,7 +457,7 @@
 	      n->entry.requests->len, n->gate.admission.n_in_flight,
 	      stopping_for_ms);
 	g_info("stopped, %s in progress", idle ? "nothing" : "something");
-	send_final_messages(n, clock_now_ms());
+	stop_gate(n, clock_now_ms());
 }
 
 /*
@@ -478,7 +478,7 @@
 {
 	int64_t now = clock_now_ms();
 
-	if (n->final_messages_at_ms) {
+	if (n->gate_stopped_at_ms) {
 		await_stopping_acks(n, now);
 		return;
 	}
@@ -490,7 +490,7 @@
 	answer_all_at_limit(n, now - n->stop_requested_at_ms);
 	if (stop_limit_reached(n, now - n->stop_requested_at_ms)) {
 		g_warning("stopped at the time limit");
-		send_final_messages(n, now);
+		stop_gate(n, now);
 		return;
 	}
 
@@ -512,7 +512,7 @@
 	if (!gate_is_idle(&n->gate) || !entry_is_idle(&n->entry))
 		return;
 	g_info("stopped, nothing in progress");
-	send_final_messages(n, now);
+	stop_gate(n, now);
 }
 
 static void on_tick(struct ev_loop *loop, ev_timer *w, int events)
