--- a/net/log-client.h
+++ b/net/log-client.h
@@ -21,7 +21,7 @@
 
 /* The result of one read. */
 struct log_batch {
-	int result; /* RESULT_TRIMMED: records before first are gone */
+	int result; /* RESULT_TRIMMED: records before first are lost */
 	int64_t first; /* oldest offset that the log holds */
 	int64_t next; /* offset that the next append will get */
 	json_t *records; /* list of {offset, id, record} */
@@ -54,8 +54,7 @@
 	int kind; /* chosen by the caller, passed to on_appended */
 	void *user;
 	bool any_offset; /* may follow records that are not read yet */
-	uint32_t n_offset_retries; /* times resent at another offset after a
-				      conflict */
+	uint32_t n_offset_retries; /* times resent after a conflict */
 	bool in_doubt; /* sent, but the answer was lost */
 	int64_t in_doubt_since_ms;
 };
@@ -100,7 +99,7 @@
 	int64_t answer_timeout_ms; /* for the answer, beyond wait_ms */
 	bool reading;
 	bool read_restarted; /* the read replaces one without an answer */
-	bool other_stream_up; /* read was begun as another stream is up */
+	bool other_stream_up; /* read was started as another stream is up */
 	json_t *newest_records; /* read by recover so far */
 	int64_t newest_end_offset; /* the log's end when recover began */
 	uint32_t n_pages; /* read by recover so far */
@@ -166,7 +165,7 @@
  * result: RESULT_CONFLICT when other records came first, which must be read
  * before a retry; RESULT_OVERLOAD when too many appends are in flight.
  * any_offset: the record means the same after records that are not read yet; on
- * a conflict it is first resent a few times behind them.
+ * a conflict it is first resent a few times, each time at the log's end.
  */
 void log_client_append(struct log_client *c, int kind, bool any_offset,
 		       void *append_user, json_t *record);
--- a/net/request-msg.h
+++ b/net/request-msg.h
@@ -21,8 +21,8 @@
 	REQ_STALLED, /* backend server stalled; wait_ms: how long to avoid it */
 	REQ_CONFIRM, /* is the answer still needed? sent_at_ms: gate's clock */
 	REQ_CONFIRMED, /* it is; number: sent_at_ms of REQ_CONFIRM */
-	REQ_STOPPING, /* gate sends no more answers; key: its peer address */
-	REQ_STOPPING_ACK, /* the entry has read it and sends nothing more */
+	REQ_STOPPING, /* stop notice, last from a gate; key: peer address */
+	REQ_STOPPING_ACK, /* the entry has read the stop notice */
 	REQ_N_TYPES,
 };
 
--- a/node/entry-request.h
+++ b/node/entry-request.h
@@ -44,7 +44,7 @@
 	char *class_name; /* "" until a class is matched */
 	char service[NAME_MAX_LEN + 1];
 	int64_t configuration_version; /* that it was matched by */
-	bool streaming; /* its answer has begun and is passed on in parts */
+	bool streaming; /* its answer is being sent in parts */
 	bool hedged; /* at most once */
 	bool prev_owner_last; /* try the previous owner last, entry-pick.c */
 	bool done; /* answered in full, or the caller has left */
@@ -102,7 +102,7 @@
 
 /*
  * Ends the streamed answer of an attempt. ok false: it is incomplete, and the
- * caller's connection is cut so that the caller can tell.
+ * caller's connection is cut so that the caller does not take it as complete.
  */
 void entry_end_answer(struct entry_request *r, struct attempt *a, bool ok);
 
@@ -116,7 +116,7 @@
  */
 int entry_send_attempt(struct entry_request *r, int64_t member, bool hedge);
 
-/* Tells the gate that the caller has taken that many more bytes. */
+/* Credits the gate with bytes of the answer that the caller has taken. */
 void entry_send_credit(struct entry *e, const struct attempt *a, int64_t bytes);
 
 /*
@@ -126,7 +126,7 @@
 void entry_confirm_attempt(struct entry *e, const struct attempt *a,
 			   int64_t sent_ms);
 
-/* Acknowledges the last message of the stopping gate at a peer address. */
+/* Acknowledges the stop notice of the gate at a peer address. */
 void entry_send_stopping_ack(struct entry *e, const char *address);
 
 /* Removes and frees an attempt; later messages about it are ignored. */
--- a/node/entry.c
+++ b/node/entry.c
@@ -173,8 +173,8 @@
 }
 
 /*
- * The last message of a stopping gate. Messages on a link arrive in order, so
- * all its answers have been received.
+ * A gate has sent its stop notice. Messages on a link arrive in order, so all
+ * its answers have been received.
  */
 static void on_gate_stopping(struct entry *e, const struct request_msg *m)
 {
--- a/node/gate-request.h
+++ b/node/gate-request.h
@@ -85,8 +85,8 @@
 /* Records a request from an entry; for our own entry, NULL, does nothing. */
 void gate_record_entry(struct gate *g, const void *identity, size_t len);
 /*
- * After gate_stop(), records that a message was sent to an entry, which
- * acknowledges only the stop notice.
+ * Once the gate sends stop notices, records that a message was sent to an
+ * entry. Entries acknowledge only the stop notice.
  */
 void gate_record_sent(struct gate *g, GBytes *identity, bool is_stop_notice);
 /*
@@ -142,7 +142,10 @@
 bool gate_shard_wait_begin(struct gate_request *r);
 /* Removes a request from the waiting ones; the caller queues or refuses it. */
 void gate_shard_wait_end(struct gate_request *r);
-/* Queues those that may be served by now; refuses those that wait in vain. */
+/*
+ * Queues requests that may be served by now; refuses those whose shard is not
+ * expected any more or whose deadline is near.
+ */
 void gate_shard_wait_tick(struct gate *g, int64_t now_ms);
 
 /* node/gate-confirm.c */
@@ -157,7 +160,7 @@
 void gate_on_confirmed(struct gate_request *r, const struct request_msg *m);
 /* Removes a request from the waiting ones; the caller queues or refuses it. */
 void gate_confirm_end(struct gate_request *r);
-/* Repeats unanswered questions; refuses requests that are past their time. */
+/* Resends unanswered REQ_CONFIRM messages; refuses expired requests. */
 void gate_confirm_tick(struct gate *g, int64_t now_ms);
 
 /* node/gate-link-wait.c */
--- a/node/gate-stop.c
+++ b/node/gate-stop.c
@@ -13,7 +13,7 @@
 
 /*
  * Returns a request that can be refused since the backend server has not got
- * it, or NULL. include_in_flight: also one that is handed over, but not sent.
+ * it, or NULL. include_in_flight: also one in flight of which nothing is sent.
  */
 static struct gate_request *find_not_started(const struct gate *g,
 					     bool include_in_flight)
@@ -33,8 +33,8 @@
 }
 
 /*
- * Refusing a request of our own entry may add or remove others, so that each
- * search starts from the beginning.
+ * Refusing a request of our own entry may add or remove others, so each search
+ * starts from the beginning.
  */
 static void refuse_not_started(struct gate *g, bool include_in_flight)
 {
@@ -69,7 +69,8 @@
 /*
  * If a connection is closed while received data is unread, the kernel resets
  * it, and the other end loses what it has not read yet, such as the last
- * answers. A stop notice, which entries acknowledge, therefore follows them.
+ * answers. Therefore a stop notice follows them, and the process waits
+ * until the entries have acknowledged it.
  */
 static void send_stopping_to_all(struct gate *g)
 {
--- a/node/gate.h
+++ b/node/gate.h
@@ -34,7 +34,7 @@
 struct gate_entry {
 	int64_t last_request_at_ms;
 	bool stopping_ack_pending; /* stop notice sent, not acknowledged yet */
-	bool sent_after_stopping; /* other messages followed the notice */
+	bool sent_after_stopping; /* messages followed the stop notice */
 };
 
 /* What the backend server announced. */
@@ -79,7 +79,7 @@
 	int64_t configuration_version; /* that was applied last; -1: none */
 	GHashTable *class_indexes; /* name -> index into its classes + 1 */
 	struct fifo_cache origins; /* entry -> struct gate_origin */
-	/* No queued request is started before, see gate_pause_starts(). */
+	/* No queued request is started earlier, see gate_pause_starts(). */
 	int64_t no_start_until_ms;
 	/* Cancels that arrived before their request, by origin and id. */
 	struct fifo_cache early_cancels;
@@ -143,10 +143,10 @@
 void gate_drain(struct gate *g);
 
 /*
- * To be called just before the process ends. Refuses each request that the
- * backend server has not got, fails each that it has, and sends the entries a
- * stop notice. An entry without such an answer would have to wait, and then
- * assume that its request was started.
+ * To be called just before the process ends. Refuses each request that was
+ * not sent to the backend server, fails each that was, and sends the entries a
+ * stop notice (REQ_STOPPING). An entry without such an answer would have to
+ * wait, and then assume that its request was started.
  */
 void gate_stop(struct gate *g);
 
--- a/node/node.c
+++ b/node/node.c
@@ -16,8 +16,8 @@
  */
 #define FINAL_ANSWERS_MS 300
 /*
- * How long to wait until the final messages are acknowledged. The platform
- * kills the process 400 ms after the stop limit.
+ * How long to wait until the stop notices are acknowledged. The platform kills
+ * the process 400 ms after the stop limit.
  */
 #define STOPPING_ACK_TIMEOUT_MS 500
 #define TICK_S 0.05
@@ -26,8 +26,8 @@
 #define WITNESS_STAY_MAX_MS 10000
 #define MAX_ADDRESSES 8192
 /*
- * How long the platform takes to notice that the ready page says no: it asks
- * every second, and acts on the second such answer.
+ * How long the platform takes to notice that the ready page reports the node as
+ * not ready: it asks every second, and acts on the second such answer.
  */
 #define UNREADY_NOTICE_MS 2300
 #define BOOT_ID_FILE "/proc/sys/kernel/random/boot_id"
@@ -413,7 +413,7 @@
 		entry_answer_open_requests(&n->entry);
 }
 
-/* The loop ends once the entries have acknowledged these messages. */
+/* The loop ends once the entries have acknowledged the stop notices. */
 static void stop_gate(struct node *n, int64_t now)
 {
 	n->gate_stopped_at_ms = now;
--- a/node/node.h
+++ b/node/node.h
@@ -90,7 +90,7 @@
 	bool stopping;
 	int64_t stop_requested_at_ms;
 	int64_t resigned_at_ms; /* 0: not yet */
-	int64_t gate_stopped_at_ms; /* sent to all entries; 0: not yet */
+	int64_t gate_stopped_at_ms; /* stop notices sent; 0: not yet */
 	int64_t next_seed_request_at_ms;
 	uint32_t next_seed;
 	int64_t started_at_ms;
