--- a/node/node.c
+++ b/node/node.c
@@ -601,53 +601,53 @@
 
 bool node_was_paused(const struct node *n)
 {
-	return n->round_start_us &&
-	       clock_now_us() - n->round_start_us > PAUSE_THRESHOLD_US;
+	return n->iteration_start_us &&
+	       clock_now_us() - n->iteration_start_us > PAUSE_THRESHOLD_US;
 }
 
-static void on_round_start(struct ev_loop *loop, ev_check *w, int events)
+static void on_iteration_start(struct ev_loop *loop, ev_check *w, int events)
 {
 	struct node *n = w->data;
 
 	(void)loop;
 	(void)events;
-	n->round_start_us = clock_now_us();
-	if (n->round_end_us &&
-	    n->round_start_us - n->round_end_us > PAUSE_THRESHOLD_US)
-		gate_pause_starts(&n->gate, n->round_start_us / 1000);
+	n->iteration_start_us = clock_now_us();
+	if (n->iteration_end_us &&
+	    n->iteration_start_us - n->iteration_end_us > PAUSE_THRESHOLD_US)
+		gate_pause_starts(&n->gate, n->iteration_start_us / 1000);
 }
 
-static void on_round_end(struct ev_loop *loop, ev_prepare *w, int events)
+static void on_iteration_end(struct ev_loop *loop, ev_prepare *w, int events)
 {
 	struct node *n = w->data;
 
 	(void)loop;
 	(void)events;
-	n->round_end_us = clock_now_us();
-	if (n->round_start_us)
+	n->iteration_end_us = clock_now_us();
+	if (n->iteration_start_us)
 		MEASURE(loop_ms,
-			(n->round_end_us - n->round_start_us) / 1000.0);
+			(n->iteration_end_us - n->iteration_start_us) / 1000.0);
 }
 
 /*
- * Measures how long each round of the loop takes, as nothing that arrives
- * during a round is handled before its end.
+ * Measures how long each iteration of the loop takes, as nothing that arrives
+ * during an iteration is handled before its end.
  */
-static void init_round_watchers(struct node *n)
+static void init_iteration_watchers(struct node *n)
 {
-	ev_check_init(&n->round_start_watcher, on_round_start);
-	ev_prepare_init(&n->round_end_watcher, on_round_end);
-	ev_set_priority(&n->round_start_watcher, EV_MAXPRI);
-	ev_set_priority(&n->round_end_watcher, EV_MINPRI);
-	n->round_start_watcher.data = n;
-	n->round_end_watcher.data = n;
-	ev_check_start(n->loop, &n->round_start_watcher);
-	ev_prepare_start(n->loop, &n->round_end_watcher);
+	ev_check_init(&n->iteration_start_watcher, on_iteration_start);
+	ev_prepare_init(&n->iteration_end_watcher, on_iteration_end);
+	ev_set_priority(&n->iteration_start_watcher, EV_MAXPRI);
+	ev_set_priority(&n->iteration_end_watcher, EV_MINPRI);
+	n->iteration_start_watcher.data = n;
+	n->iteration_end_watcher.data = n;
+	ev_check_start(n->loop, &n->iteration_start_watcher);
+	ev_prepare_start(n->loop, &n->iteration_end_watcher);
 }
 
 static void init_watchers(struct node *n)
 {
-	init_round_watchers(n);
+	init_iteration_watchers(n);
 	ev_timer_init(&n->tick, on_tick, 0, TICK_S);
 	ev_signal_init(&n->sigterm, on_signal, SIGTERM);
 	ev_signal_init(&n->sigint, on_signal, SIGINT);
@@ -725,8 +725,8 @@
 void node_finish(struct node *n)
 {
 	ev_timer_stop(n->loop, &n->tick);
-	ev_check_stop(n->loop, &n->round_start_watcher);
-	ev_prepare_stop(n->loop, &n->round_end_watcher);
+	ev_check_stop(n->loop, &n->iteration_start_watcher);
+	ev_prepare_stop(n->loop, &n->iteration_end_watcher);
 	ev_signal_stop(n->loop, &n->sigterm);
 	ev_signal_stop(n->loop, &n->sigint);
 	ev_signal_stop(n->loop, &n->sighup);
--- a/node/node.h
+++ b/node/node.h
@@ -78,10 +78,10 @@
 	GHashTable *addresses; /* last peer address of each member seen */
 	struct log_scan scan; /* records read while looking for a snapshot */
 	ev_timer tick;
-	ev_check round_start_watcher;
-	ev_prepare round_end_watcher;
-	int64_t round_start_us; /* of the current round of the loop */
-	int64_t round_end_us; /* of the previous round */
+	ev_check iteration_start_watcher;
+	ev_prepare iteration_end_watcher;
+	int64_t iteration_start_us; /* of the current iteration of the loop */
+	int64_t iteration_end_us; /* of the previous iteration */
 	ev_signal sigterm;
 	ev_signal sigint;
 	ev_signal sighup;
@@ -111,8 +111,8 @@
 void node_finish(struct node *n);
 
 /*
- * Whether the current round of the loop has lasted so long that the process was
- * probably paused during it.
+ * Whether the current iteration of the loop has lasted so long that the process
+ * was probably paused during it.
  */
 bool node_was_paused(const struct node *n);
 
--- a/util/histogram.h
+++ b/util/histogram.h
@@ -25,7 +25,7 @@
 	X(server_ms) /* at the backend server, with connect_ms */      \
 	X(hop_ms) /* between nodes, beyond the least delay seen */     \
 	X(cancel_ms) /* as hop_ms, for cancellations */                \
-	X(loop_ms) /* a round of the event loop, without waiting */    \
+	X(loop_ms) /* an iteration of the event loop, no waiting */    \
 	X(grant_ms) /* duration of grants in heartbeat answers */      \
 	X(store_append_ms) /* an append to the log, to its answer */
 
