--- a/net/log-client.c
+++ b/net/log-client.c
@@ -22,8 +22,8 @@
 /* A read younger than this may still return the expected record. */
 #define RESTART_MIN_AGE_MS 500
 /*
- * The clock advances meanwhile, so that the read counts as sent after the
- * append came to be in doubt.
+ * Delay of the read that resolves an append in doubt: the clock advances, so
+ * that the read counts as sent after the append came to be in doubt.
  */
 #define IN_DOUBT_READ_DELAY_MS 5
 
--- a/node/entry-answer.c
+++ b/node/entry-answer.c
@@ -10,7 +10,7 @@
 #include "util/histogram.h"
 #include "util/result.h"
 
-/* Answers to callers: those received from gates, and the entry's own. */
+/* Answers to callers: those from gates, and those that the entry makes. */
 
 /* Largest random addition to Retry-After in whole seconds. */
 #define RETRY_AFTER_SPREAD_S 2
@@ -28,8 +28,8 @@
 }
 
 /*
- * The last attempts as JSON arrays of member, result and milliseconds. With
- * them one event tells how the request went, without those of its attempts.
+ * The last attempts as JSON arrays of member, result and milliseconds. They make
+ * the event of a request complete without the events of its attempts.
  * Valid until the next call.
  */
 static const char *past_attempts_text(const struct entry_request *r)
@@ -49,7 +49,7 @@
 	return out;
 }
 
-/* Emits the event of a final answer of the entry's own, with its reason. */
+/* Emits the event of a final answer that no gate sent, with its reason. */
 static void emit_outcome(struct entry_request *r, enum event e, const char *why,
 			 int64_t wait_ms)
 {
@@ -99,7 +99,7 @@
 }
 
 /*
- * Sends an answer of the entry's own. It gets no outcome header if outcome is
+ * Sends an answer that no gate sent. It gets no outcome header if outcome is
  * NULL, and no Retry-After if wait_ms is negative.
  */
 static void reply(struct entry_request *r, uint32_t status, const char *outcome,
--- a/node/gate-answer.c
+++ b/node/gate-answer.c
@@ -66,8 +66,8 @@
  * A faulty server may send a second answer to a request late, where the answer
  * to the next request on the connection is expected, or bytes that belong to
  * another answer. Forwarded, they would reach the wrong caller. An answer
- * without the mark of this attempt is therefore dropped and its connection
- * closed.
+ * without the id of this attempt, or a successful one without the server's
+ * signature header, is therefore dropped and its connection closed.
  */
 static bool check_head(struct fetch *f)
 {
--- a/node/gate-move.c
+++ b/node/gate-move.c
@@ -16,7 +16,10 @@
 	return member_can_move_shard(user, shard);
 }
 
-/* Other members of our service that take work and answered recently. */
+/*
+ * Other members with our service, apart from those that are out of service or
+ * stopped, or have not answered recently.
+ */
 static GArray *list_move_candidates(const struct gate *g, int64_t now)
 {
 	const struct member_node *n = &g->node->member;
--- a/node/gate-request.h
+++ b/node/gate-request.h
@@ -174,7 +174,7 @@
 void gate_link_wait_end(struct gate_request *r);
 /*
  * Queues requests whose entry is connected again. Refuses expired ones, and all
- * of them when this node takes no work.
+ * of them when this node accepts no requests.
  */
 void gate_link_wait_tick(struct gate *g, int64_t now_ms);
 
--- a/node/gate.h
+++ b/node/gate.h
@@ -47,7 +47,7 @@
 	char instance_id[SERVER_INSTANCE_ID_MAX_LEN + 1];
 	/*
 	 * Sent with requests as the instance that they are meant for; "": the
-	 * header is left out.
+	 * header is omitted.
 	 */
 	char id[SERVER_INSTANCE_ID_MAX_LEN + 1];
 };
--- a/node/node.c
+++ b/node/node.c
@@ -681,8 +681,8 @@
 	n->loop = loop;
 	n->started_at_ms = clock_now_ms();
 	/*
-	 * Before anything else: a second process with the same settings fails
-	 * here, as the address is in use, and must not have done anything yet.
+	 * This comes first: a second process with the same settings fails here,
+	 * as the address is in use, before it has had any other effect.
 	 */
 	err = peers_init(&n->peers, loop, s->peer_address, on_peer, n);
 	if (err)
--- a/settings/changes.c
+++ b/settings/changes.c
@@ -336,7 +336,7 @@
 
 /*
  * Build the new list of classes of cfg from its old ones and those in read;
- * origins tells where each one comes from.
+ * origins is that of apply_class_edits().
  */
 static void rebuild_classes(struct configuration *cfg, GArray *read,
 			    const GArray *origins)
--- a/settings/configuration.h
+++ b/settings/configuration.h
@@ -114,8 +114,8 @@
 			      const char *data_centre);
 
 /*
- * Returns the class that a request belongs to, or NULL; match_index_find()
- * tells which. host is the Host header as received, or NULL.
+ * Returns the class that a request belongs to, as match_index_find() selects
+ * it, or NULL if there is none. host is the Host header as received, or NULL.
  */
 const struct class_settings *
 configuration_match(const struct configuration *cfg, const char *method,
--- a/settings/settings.c
+++ b/settings/settings.c
@@ -188,8 +188,8 @@
 
 /*
  * Read how the backend server learns which keys it holds. An empty string
- * counts as absent: settings that are made from a template have one here when
- * the platform defines no way.
+ * counts as absent: settings made from a template have one if the platform
+ * specifies none.
  */
 static void read_grants(struct json_check *c, const json_t *o,
 			struct settings *s)
--- a/util/event.h
+++ b/util/event.h
@@ -11,7 +11,7 @@
  * docs/OPERATIONS.md lists the events and their fields.
  *
  * Events must neither slow the node down nor flood the system that stores them.
- * Each kind has a token bucket. Lines that it leaves out are counted, and the
+ * Each kind has a token bucket. Lines that it suppresses are counted, and the
  * next line of that kind reports their number. When the output pipe is full,
  * lines are dropped and counted; a write never blocks.
  */
