--- a/net/request-msg.h
+++ b/net/request-msg.h
@@ -21,15 +21,15 @@
 	REQ_STALLED, /* backend server stalled; wait_ms: how long to avoid it */
 	REQ_CONFIRM, /* is the answer still needed? sent_at_ms: gate's clock */
 	REQ_CONFIRMED, /* it is; number: sent_at_ms of REQ_CONFIRM */
-	REQ_STOPPING, /* gate sends no more answers; key: its peer address */
-	REQ_STOPPING_ACK, /* the entry has read it and sends nothing more */
+	REQ_STOPPING, /* stop notice, last from a gate; key: peer address */
+	REQ_STOPPING_ACK, /* the entry has read the stop notice */
 	REQ_N_TYPES,
 };
 
 #define REQ_FLAG_END 1 /* last part of the answer */
 #define REQ_FLAG_KEYED 2 /* served only by the owner of the shard */
 #define REQ_FLAG_REPEATABLE 4 /* submit: may run more than once */
-#define REQ_FLAG_FIRST_SENDING 8 /* submit: its id was never sent before */
+#define REQ_FLAG_FIRST_SEND 8 /* submit: its id was never sent before */
 #define REQ_FLAG_BY_SERVER 16 /* refused: by the backend server */
 #define REQ_FLAG_TRACED 32 /* submit: log each event of the request */
 #define REQ_FLAG_STARTED 64 /* failed: it was sent to a backend server */
--- a/node/node.c
+++ b/node/node.c
@@ -16,8 +16,8 @@
  */
 #define FINAL_ANSWERS_MS 300
 /*
- * How long to wait until the final messages are acknowledged. The platform
- * kills the process 400 ms after the stop limit.
+ * How long to wait until the stop notices are acknowledged. The platform kills
+ * the process 400 ms after the stop limit.
  */
 #define STOPPING_ACK_TIMEOUT_MS 500
 #define TICK_S 0.05
@@ -26,8 +26,8 @@
 #define WITNESS_STAY_MAX_MS 10000
 #define MAX_ADDRESSES 8192
 /*
- * How long the platform takes to notice that the ready page says no: it asks
- * every second, and acts on the second such answer.
+ * How long the platform takes to notice that the ready page reports the node as
+ * not ready: it asks every second, and acts on the second such answer.
  */
 #define UNREADY_NOTICE_MS 2300
 #define BOOT_ID_FILE "/proc/sys/kernel/random/boot_id"
@@ -413,17 +413,17 @@
 		entry_answer_open_requests(&n->entry);
 }
 
-/* The loop ends once the entries have acknowledged these messages. */
-static void send_final_messages(struct node *n, int64_t now)
+/* The loop ends once the entries have acknowledged the stop notices. */
+static void stop_gate(struct node *n, int64_t now)
 {
-	n->final_messages_at_ms = now;
+	n->gate_stopped_at_ms = now;
 	gate_stop(&n->gate);
 }
 
 static void await_stopping_acks(struct node *n, int64_t now)
 {
 	if (!gate_stopping_is_acked(&n->gate) &&
-	    now - n->final_messages_at_ms < STOPPING_ACK_TIMEOUT_MS)
+	    now - n->gate_stopped_at_ms < STOPPING_ACK_TIMEOUT_MS)
 		return;
 	ev_break(n->loop, EVBREAK_ALL);
 }
@@ -457,7 +457,7 @@
 	      n->entry.requests->len, n->gate.admission.n_in_flight,
 	      stopping_for_ms);
 	g_info("stopped, %s in progress", idle ? "nothing" : "something");
-	send_final_messages(n, clock_now_ms());
+	stop_gate(n, clock_now_ms());
 }
 
 /*
@@ -478,7 +478,7 @@
 {
 	int64_t now = clock_now_ms();
 
-	if (n->final_messages_at_ms) {
+	if (n->gate_stopped_at_ms) {
 		await_stopping_acks(n, now);
 		return;
 	}
@@ -490,7 +490,7 @@
 	answer_all_at_limit(n, now - n->stop_requested_at_ms);
 	if (stop_limit_reached(n, now - n->stop_requested_at_ms)) {
 		g_warning("stopped at the time limit");
-		send_final_messages(n, now);
+		stop_gate(n, now);
 		return;
 	}
 
@@ -512,7 +512,7 @@
 	if (!gate_is_idle(&n->gate) || !entry_is_idle(&n->entry))
 		return;
 	g_info("stopped, nothing in progress");
-	send_final_messages(n, now);
+	stop_gate(n, now);
 }
 
 static void on_tick(struct ev_loop *loop, ev_timer *w, int events)
@@ -601,53 +601,53 @@
 
 bool node_was_paused(const struct node *n)
 {
-	return n->round_start_us &&
-	       clock_now_us() - n->round_start_us > PAUSE_THRESHOLD_US;
+	return n->iteration_start_us &&
+	       clock_now_us() - n->iteration_start_us > PAUSE_THRESHOLD_US;
 }
 
-static void on_round_start(struct ev_loop *loop, ev_check *w, int events)
+static void on_iteration_start(struct ev_loop *loop, ev_check *w, int events)
 {
 	struct node *n = w->data;
 
 	(void)loop;
 	(void)events;
-	n->round_start_us = clock_now_us();
-	if (n->round_end_us &&
-	    n->round_start_us - n->round_end_us > PAUSE_THRESHOLD_US)
-		gate_pause_starts(&n->gate, n->round_start_us / 1000);
+	n->iteration_start_us = clock_now_us();
+	if (n->iteration_end_us &&
+	    n->iteration_start_us - n->iteration_end_us > PAUSE_THRESHOLD_US)
+		gate_pause_starts(&n->gate, n->iteration_start_us / 1000);
 }
 
-static void on_round_end(struct ev_loop *loop, ev_prepare *w, int events)
+static void on_iteration_end(struct ev_loop *loop, ev_prepare *w, int events)
 {
 	struct node *n = w->data;
 
 	(void)loop;
 	(void)events;
-	n->round_end_us = clock_now_us();
-	if (n->round_start_us)
+	n->iteration_end_us = clock_now_us();
+	if (n->iteration_start_us)
 		MEASURE(loop_ms,
-			(n->round_end_us - n->round_start_us) / 1000.0);
+			(n->iteration_end_us - n->iteration_start_us) / 1000.0);
 }
 
 /*
- * Measures how long each round of the loop takes, as nothing that arrives
- * during a round is handled before its end.
+ * Measures how long each iteration of the loop takes, as nothing that arrives
+ * during an iteration is handled before its end.
  */
-static void init_round_watchers(struct node *n)
+static void init_iteration_watchers(struct node *n)
 {
-	ev_check_init(&n->round_start_watcher, on_round_start);
-	ev_prepare_init(&n->round_end_watcher, on_round_end);
-	ev_set_priority(&n->round_start_watcher, EV_MAXPRI);
-	ev_set_priority(&n->round_end_watcher, EV_MINPRI);
-	n->round_start_watcher.data = n;
-	n->round_end_watcher.data = n;
-	ev_check_start(n->loop, &n->round_start_watcher);
-	ev_prepare_start(n->loop, &n->round_end_watcher);
+	ev_check_init(&n->iteration_start_watcher, on_iteration_start);
+	ev_prepare_init(&n->iteration_end_watcher, on_iteration_end);
+	ev_set_priority(&n->iteration_start_watcher, EV_MAXPRI);
+	ev_set_priority(&n->iteration_end_watcher, EV_MINPRI);
+	n->iteration_start_watcher.data = n;
+	n->iteration_end_watcher.data = n;
+	ev_check_start(n->loop, &n->iteration_start_watcher);
+	ev_prepare_start(n->loop, &n->iteration_end_watcher);
 }
 
 static void init_watchers(struct node *n)
 {
-	init_round_watchers(n);
+	init_iteration_watchers(n);
 	ev_timer_init(&n->tick, on_tick, 0, TICK_S);
 	ev_signal_init(&n->sigterm, on_signal, SIGTERM);
 	ev_signal_init(&n->sigint, on_signal, SIGINT);
@@ -681,8 +681,8 @@
 	n->loop = loop;
 	n->started_at_ms = clock_now_ms();
 	/*
-	 * Before anything else: a second process with the same settings fails
-	 * here, as the address is in use, and must not have done anything yet.
+	 * This comes first: a second process with the same settings fails here,
+	 * as the address is in use, before it has had any other effect.
 	 */
 	err = peers_init(&n->peers, loop, s->peer_address, on_peer, n);
 	if (err)
@@ -725,8 +725,8 @@
 void node_finish(struct node *n)
 {
 	ev_timer_stop(n->loop, &n->tick);
-	ev_check_stop(n->loop, &n->round_start_watcher);
-	ev_prepare_stop(n->loop, &n->round_end_watcher);
+	ev_check_stop(n->loop, &n->iteration_start_watcher);
+	ev_prepare_stop(n->loop, &n->iteration_end_watcher);
 	ev_signal_stop(n->loop, &n->sigterm);
 	ev_signal_stop(n->loop, &n->sigint);
 	ev_signal_stop(n->loop, &n->sighup);
