--- a/net/log-client.h
+++ b/net/log-client.h
@@ -21,7 +21,7 @@
 
 /* The result of one read. */
 struct log_batch {
-	int result; /* RESULT_TRIMMED: records before first are lost */
+	int result; /* RESULT_TRIMMED: the log begins at first */
 	int64_t first; /* oldest offset that the log holds */
 	int64_t next; /* offset that the next append will get */
 	json_t *records; /* list of {offset, id, record} */
--- a/net/peer.c
+++ b/net/peer.c
@@ -123,12 +123,12 @@
 {
 	zmq_msg_t identity;
 	zmq_msg_t body;
-	bool got;
+	bool received;
 
 	zmq_msg_init(&identity);
 	zmq_msg_init(&body);
-	got = zmq_msg_recv(&identity, p->router, ZMQ_DONTWAIT) >= 0;
-	if (got && zmq_msg_more(&identity) &&
+	received = zmq_msg_recv(&identity, p->router, ZMQ_DONTWAIT) >= 0;
+	if (received && zmq_msg_more(&identity) &&
 	    zmq_msg_recv(&body, p->router, ZMQ_DONTWAIT) >= 0) {
 		g_autofree char *address = address_of(zmq_msg_data(&identity),
 						      zmq_msg_size(&identity));
@@ -151,7 +151,7 @@
 	}
 	zmq_msg_close(&body);
 	zmq_msg_close(&identity);
-	return got;
+	return received;
 }
 
 static void receive_inbound_all(struct peers *p)
@@ -204,17 +204,17 @@
 {
 	struct peer_source from = { .address = l->address };
 	zmq_msg_t body;
-	bool got;
+	bool received;
 
 	zmq_msg_init(&body);
-	got = zmq_msg_recv(&body, l->dealer, ZMQ_DONTWAIT) >= 0;
-	if (got) {
+	received = zmq_msg_recv(&body, l->dealer, ZMQ_DONTWAIT) >= 0;
+	if (received) {
 		l->last_received_at_ms = clock_now_ms();
 		l->last_used_at_ms = l->last_received_at_ms;
 		deliver(l->peers, &from, &body);
 	}
 	zmq_msg_close(&body);
-	return got;
+	return received;
 }
 
 /* Whether the link's socket has a message to read or can be sent on. */
--- a/net/request-msg.h
+++ b/net/request-msg.h
@@ -21,8 +21,8 @@
 	REQ_STALLED, /* backend server stalled; wait_ms: how long to avoid it */
 	REQ_CONFIRM, /* is the answer still needed? sent_at_ms: gate's clock */
 	REQ_CONFIRMED, /* it is; number: sent_at_ms of REQ_CONFIRM */
-	REQ_STOPPING, /* stop notice, last from a gate; key: peer address */
-	REQ_STOPPING_ACK, /* the entry has read the stop notice */
+	REQ_STOPPING, /* stop notice, after all answers; key: gate's address */
+	REQ_STOPPING_ACK, /* it was read; the entry sends no more requests */
 	REQ_N_TYPES,
 };
 
--- a/node/entry.c
+++ b/node/entry.c
@@ -174,7 +174,7 @@
 
 /*
  * A gate has sent its stop notice. Messages on a link arrive in order, so all
- * its answers have been received.
+ * answers that it sent before have been received.
  */
 static void on_gate_stopping(struct entry *e, const struct request_msg *m)
 {
--- a/node/gate-shard-wait.c
+++ b/node/gate-shard-wait.c
@@ -22,8 +22,8 @@
 	int64_t fence, end;
 
 	/*
-	 * The heartbeat answer gets room for this shard only when another
-	 * grant ends, and it is not known when that will be.
+	 * The heartbeat answer has no room for this shard until another grant
+	 * ends, and it is not known when that will be.
 	 */
 	if (grants_waiting_for_room(&r->gate->grants, r->shard))
 		return false;
@@ -34,10 +34,10 @@
 bool gate_shard_wait_begin(struct gate_request *r)
 {
 	struct gate *g = r->gate;
-	uint32_t most = g->backend_server.slots * WAITERS_PER_SLOT;
+	uint32_t max_waiters = g->backend_server.slots * WAITERS_PER_SLOT;
 
 	if (!r->keyed || !g->grants.ops || g->draining ||
-	    g->shard_waiters->len >= most || !shard_is_expected(r))
+	    g->shard_waiters->len >= max_waiters || !shard_is_expected(r))
 		return false;
 	COUNT(gate_parked);
 	r->state = GATE_SHARD_WAIT;
--- a/node/gate-stop.c
+++ b/node/gate-stop.c
@@ -12,8 +12,9 @@
 }
 
 /*
- * Returns a request that can be refused since the backend server has not got
- * it, or NULL. include_in_flight: also one in flight of which nothing is sent.
+ * Returns a request that can be refused since it was not sent to the backend
+ * server, or NULL. include_in_flight: also one in GATE_IN_FLIGHT of which
+ * nothing is sent yet.
  */
 static struct gate_request *find_not_started(const struct gate *g,
 					     bool include_in_flight)
@@ -69,8 +70,8 @@
 /*
  * If a connection is closed while received data is unread, the kernel resets
  * it, and the other end loses what it has not read yet, such as the last
- * answers. Therefore a stop notice follows them, and the process waits
- * until the entries have acknowledged it.
+ * answers. Therefore a stop notice follows them, and the process waits until
+ * the entries have acknowledged it.
  */
 static void send_stopping_to_all(struct gate *g)
 {
--- a/util/deflate.c
+++ b/util/deflate.c
@@ -25,7 +25,7 @@
 {
 	const uint8_t *p = data;
 	uLongf size = 0;
-	uLongf got;
+	uLongf inflated_len;
 	GString *out;
 	size_t i;
 
@@ -37,10 +37,10 @@
 		return NULL;
 	out = g_string_sized_new(size);
 	g_string_set_size(out, size);
-	got = size;
-	if (uncompress((Bytef *)out->str, &got, p + LENGTH_BYTES,
+	inflated_len = size;
+	if (uncompress((Bytef *)out->str, &inflated_len, p + LENGTH_BYTES,
 		       len - LENGTH_BYTES) == Z_OK &&
-	    got == size)
+	    inflated_len == size)
 		return out;
 	g_string_free(out, TRUE);
 	return NULL;
