--- a/Makefile
+++ b/Makefile
@@ -1,10 +1,11 @@
 # make            build the briargrade binary
 # make test       build and run every test
-# make demo       build, start a whole fleet on loopback and show it at work
-# make bench      measure, print medians
-# make soak       randomised runs, SEEDS=N of them
-# make fault-soak real processes under faults, SEED=N for MINUTES=M
-# make check      format and lint
+# make demo       build, start an example fleet on loopback and send it requests
+# make bench      build, run the benchmarks and print their results
+# make soak       build and run the randomised simulations, with SEEDS=N seeds
+# make fault-soak build, then inject faults into a fleet of real processes,
+#                 with SEED=N, for MINUTES=M
+# make check      check the format and run the linter
 
 CC ?= gcc
 PKGS = glib-2.0 jansson libxxhash msgpack libmicrohttpd libcurl libzmq zlib
@@ -25,7 +26,8 @@
 CMD_SRC = briargrade.c $(wildcard builtin/*.c)
 LIB_OBJ = $(LIB_SRC:%.c=$(OUT)/%.o)
 CMD_OBJ = $(CMD_SRC:%.c=$(OUT)/%.o)
-# What keeps one owner to a key once more, with its safety rules made switchable.
+# These files ensure that a key has at most one owner. They are compiled a second
+# time with -DRULE_SWITCHES, so that tests can disable single safety rules.
 RULE_SRC = $(wildcard member/*.c) gate/grant-call.c
 RULE_OBJ = $(RULE_SRC:%.c=$(OUT)/rules/%.o)
 OTHER_OBJ = $(filter-out $(RULE_SRC:%.c=$(OUT)/%.o),$(LIB_OBJ))
@@ -77,7 +79,7 @@
 packages:
 	t/install-packages
 
-# The tests that need no other process.
+# This target runs only the tests that need no other process.
 unit: binaries
 	UNIT_ONLY=1 OUT=$(OUT) t/run-tests
 
@@ -100,7 +102,8 @@
 
 SEED ?= 1
 MINUTES ?= 2
-# Above the ports that the system gives out by itself.
+# The default is above the kernel's default range of ephemeral ports (it ends at
+# 60999), so that the kernel does not assign these ports to other sockets.
 SOAK_PORT ?= 61000
 fault-soak: $(OUT)/bin/fault-soak $(OUT)/bin/briargrade \
 		$(OUT)/bin/platform-store $(OUT)/bin/platform-server
--- a/route/choose.h
+++ b/route/choose.h
@@ -23,7 +23,8 @@
 	int64_t suspect_until_ms; /* it did not answer, or serves no requests */
 	/* Requests are outstanding and none ended since; 0: none outstanding. */
 	int64_t no_progress_since_ms;
-	bool stop_announced; /* it takes no more requests */
+	/* The gate's stop notice was received; no requests are sent to it. */
+	bool stop_announced;
 };
 
 struct chooser;
